--- a/src/command/quarantine.rs
+++ b/src/command/quarantine.rs
@@ -6,9 +6,9 @@
 use clap::Arg;
 use clap::ArgMatches;
 use clap::Command;
-use marigoldstage_platform::lift_hold;
-use marigoldstage_platform::list_holds;
-use marigoldstage_platform::HoldError;
+use marigoldstage_platform::lift_quarantine;
+use marigoldstage_platform::list_quarantined;
+use marigoldstage_platform::QuarantineError;
 use mgs_quarantine::key::WorkKey;
 use mgs_quarantine::table::Told;
 use tokio::runtime::Builder;
@@ -82,7 +82,7 @@
 }
 
 fn list(store: SocketAddr, out: &mut dyn Write) -> Result<(), Error> {
-    let holds = LocalSet::new().block_on(&runtime()?, list_holds(store));
+    let holds = LocalSet::new().block_on(&runtime()?, list_quarantined(store));
     let holds = holds.map_err(failed)?;
     writeln!(out, "{:<32}  crashes  last, s ago  tried again", "work")?;
     for told in &holds {
@@ -105,16 +105,16 @@
 }
 
 fn lift(store: SocketAddr, work: WorkKey, out: &mut dyn Write) -> Result<(), Error> {
-    let lifted = LocalSet::new().block_on(&runtime()?, lift_hold(store, work));
+    let lifted = LocalSet::new().block_on(&runtime()?, lift_quarantine(store, work));
     lifted.map_err(failed)?;
     writeln!(out, "{work} is let go")?;
     Ok(())
 }
 
-fn failed(error: HoldError) -> Error {
+fn failed(error: QuarantineError) -> Error {
     match error {
-        HoldError::Store(_) => Error::Unavailable(error.to_string()),
-        HoldError::Unknown => Error::Failed(error.to_string()),
+        QuarantineError::Store(_) => Error::Unavailable(error.to_string()),
+        QuarantineError::NotQuarantined => Error::Failed(error.to_string()),
     }
 }
 
--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -8,11 +8,11 @@
 
 use clap::ArgMatches;
 use clap::Command;
-use marigoldstage_platform::options;
+use marigoldstage_platform::gateway_options;
 use marigoldstage_platform::PlatformDialect;
 use marigoldstage_platform::Settings;
 use marigoldstage_platform::StoreAddress;
-use marigoldstage_platform::StoreFactory;
+use marigoldstage_platform::StoreSourceFactory;
 use marigoldstage_platform::SETTINGS_VARIABLE;
 use mgs_observe::admin;
 use mgs_observe::admin::Health;
@@ -159,7 +159,7 @@
     metrics_port: u16,
 ) -> Result<(), Error> {
     let failed = |error: String| Error::Failed(error);
-    let mut plan = options(&settings);
+    let mut plan = gateway_options(&settings);
     plan.relay.placing = figures.placing;
     plan.relay.turns = figures.turns;
     let published = Arc::new(Published::new());
@@ -181,7 +181,7 @@
         }
     };
     let store = StoreAddress::new(plan.store);
-    let factory = StoreFactory {
+    let factory = StoreSourceFactory {
         address: store.clone(),
     };
     published.put_live(plan.live);
@@ -279,7 +279,7 @@
         if settings.needs_restart(&self.settings) {
             log::warn!("other addresses to listen on need a restart; the rest is taken");
         }
-        let plan = options(&settings);
+        let plan = gateway_options(&settings);
         self.published.put_live(plan.live);
         self.store.set(plan.store);
         self.settings = settings;
