--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -12,11 +12,11 @@
 use common::marigoldstage;
 use common::stderr;
 use common::stdout;
-use standin::client::ask;
-use standin::client::Ask;
-use standin::endpoint::Act;
+use standin::client::request;
+use standin::client::ClientRequest;
+use standin::endpoint::Behaviour;
 use standin::endpoint::Endpoint;
-use standin::endpoint::DEADLY;
+use standin::endpoint::CRASH_MARKER;
 use standin::gateway::store_with;
 use standin::gateway::Gateway;
 use standin::store::Store;
@@ -28,27 +28,27 @@
     command.output().expect("the program")
 }
 
-fn deadly() -> Ask {
-    Ask {
-        body: DEADLY.to_string(),
-        ..Ask::to("/talk/1").with("Token-Count", "900,200")
+fn deadly() -> ClientRequest {
+    ClientRequest {
+        body: CRASH_MARKER.to_string(),
+        ..ClientRequest::to("/talk/1").with_header("Token-Count", "900,200")
     }
 }
 
 #[test]
 fn what_is_held_is_listed_and_lifted() {
     let endpoints: Vec<Endpoint> = (0..8)
-        .map(|number| Endpoint::start(&format!("i-{number}"), "model", &[Act::Crash(2)]))
+        .map(|number| Endpoint::start(&format!("i-{number}"), "model", &[Behaviour::Crash(2)]))
         .collect();
     let all: Vec<&Endpoint> = endpoints.iter().collect();
     let store = store_with(&all);
     let gateway = Gateway::start(&store);
     assert_eq!(stdout(&quarantine(&store, &["list"])).lines().count(), 1);
     for _ in 0..4 {
-        ask(gateway.client_address(), &deadly());
+        request(gateway.client_address(), &deadly());
         thread::sleep(Duration::from_millis(150));
     }
-    assert_eq!(ask(gateway.client_address(), &deadly()).status, 503);
+    assert_eq!(request(gateway.client_address(), &deadly()).status, 503);
     let listed = quarantine(&store, &["list"]);
     assert_eq!(code(&listed), 0, "{}", stderr(&listed));
     let listed = stdout(&listed);
@@ -59,7 +59,7 @@
     assert_eq!(code(&lifted), 0, "{}", stderr(&lifted));
     thread::sleep(Duration::from_millis(300));
     assert_eq!(
-        ask(gateway.client_address(), &deadly()).status,
+        request(gateway.client_address(), &deadly()).status,
         502,
         "it runs"
     );
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -22,11 +22,11 @@
 use rustix::process::Pid;
 use rustix::process::Signal;
 use serde_json::json;
-use standin::client::ask;
-use standin::client::read_answer;
+use standin::client::read_response;
+use standin::client::request;
 use standin::client::send;
-use standin::client::Ask;
-use standin::endpoint::Act;
+use standin::client::ClientRequest;
+use standin::endpoint::Behaviour;
 use standin::endpoint::Endpoint;
 use standin::gateway::configuration;
 use standin::gateway::store_with;
@@ -114,7 +114,7 @@
         };
         let text = "GET /readiness HTTP/1.1\r\nHost: ready\r\nConnection: close\r\n\r\n";
         match stream.write_all(text.as_bytes()) {
-            Ok(()) => read_answer(&mut stream).status,
+            Ok(()) => read_response(&mut stream).status,
             Err(_) => 0,
         }
     }
@@ -128,7 +128,7 @@
 /// Three hosts of a bench day ended by SIGHUP, and the requests on them were lost.
 #[test]
 fn a_hangup_signal_reads_the_settings_and_ends_nothing() {
-    let desk = Endpoint::start("i-1", "desk", &[Act::Answer]);
+    let desk = Endpoint::start("i-1", "desk", &[Behaviour::Answer]);
     let store = store_with(&[&desk]);
     let relay = Relay::start(&store);
     let other = store_with(&[&desk]);
@@ -139,40 +139,48 @@
     let before = other.calls();
     relay.signal(Signal::HUP);
     wait_until("calls to the other store", || other.calls() > before);
-    assert_eq!(ask(relay.client, &Ask::to("/safe/1")).status, 200);
+    assert_eq!(
+        request(relay.client, &ClientRequest::to("/safe/1")).status,
+        200
+    );
 }
 
 #[test]
 fn faulty_settings_are_not_taken() {
-    let desk = Endpoint::start("i-1", "desk", &[Act::Answer]);
+    let desk = Endpoint::start("i-1", "desk", &[Behaviour::Answer]);
     let store = store_with(&[&desk]);
     let relay = Relay::start(&store);
     std::fs::write(&relay.settings, "nonsense").expect("the settings");
     relay.signal(Signal::HUP);
     thread::sleep(Duration::from_millis(200));
-    assert_eq!(ask(relay.client, &Ask::to("/safe/1")).status, 200);
+    assert_eq!(
+        request(relay.client, &ClientRequest::to("/safe/1")).status,
+        200
+    );
 }
 
 #[test]
 fn a_stop_finishes_what_is_open_and_tells_the_balancer_first() {
-    let engine = Endpoint::start("i-1", "model", &[Act::Stream(120)]);
+    let engine = Endpoint::start("i-1", "model", &[Behaviour::Stream(120)]);
     let store = store_with(&[&engine]);
     let mut relay = Relay::start(&store);
-    let talk = Ask::to("/talk/1").with("Token-Count", "900,200");
+    let talk = ClientRequest::to("/talk/1").with_header("Token-Count", "900,200");
     let mut open = send(relay.client, &talk);
-    wait_until("the stream at the engine", || !engine.seen().is_empty());
+    wait_until("the stream at the engine", || {
+        !engine.received_requests().is_empty()
+    });
     relay.signal(Signal::TERM);
     wait_until("not ready", || relay.readiness() == 503);
-    let late = ask(
+    let late = request(
         relay.client,
-        &Ask::to("/talk/2").with("Token-Count", "900,200"),
+        &ClientRequest::to("/talk/2").with_header("Token-Count", "900,200"),
     );
     assert!(
-        late.is_whole,
+        late.is_complete,
         "the balancer may not have noticed yet: {late:?}"
     );
-    assert_eq!(late.head.field("connection"), Some("close"));
-    assert!(read_answer(&mut open).is_whole);
+    assert_eq!(late.head.header("connection"), Some("close"));
+    assert!(read_response(&mut open).is_complete);
     let status = relay.child.wait().expect("an end");
     assert!(status.success(), "{status}");
 }
@@ -209,7 +217,7 @@
 impl Waits {
     fn start() -> Self {
         let engines: Vec<Endpoint> = (1..=3)
-            .map(|number| Endpoint::start(&format!("i-{number}"), "model", &[Act::Hang]))
+            .map(|number| Endpoint::start(&format!("i-{number}"), "model", &[Behaviour::Hang]))
             .collect();
         let all: Vec<&Endpoint> = engines.iter().collect();
         let store = store_with(&all);
@@ -223,15 +231,15 @@
         }
         store.put("op", "config", &patient);
         let relay = Relay::start(&store);
-        let long = Ask {
+        let long = ClientRequest {
             deadline_ms: 14_000,
-            ..Ask::to("/review/1").with("Token-Count", "90000,200")
+            ..ClientRequest::to("/review/1").with_header("Token-Count", "90000,200")
         };
         let first = send(relay.client, &long);
         let seen = || {
             engines
                 .iter()
-                .map(|engine| engine.seen().len())
+                .map(|engine| engine.received_requests().len())
                 .sum::<usize>()
         };
         wait_until("the first at an engine", || seen() == 1);
@@ -248,7 +256,10 @@
     }
 
     fn seen(&self) -> usize {
-        self.engines.iter().map(|engine| engine.seen().len()).sum()
+        self.engines
+            .iter()
+            .map(|engine| engine.received_requests().len())
+            .sum()
     }
 }
 
@@ -260,9 +271,9 @@
     let mut waits = Waits::start();
     let start = Instant::now();
     waits.relay.signal(Signal::TERM);
-    let answer = read_answer(&mut waits.second);
+    let answer = read_response(&mut waits.second);
     assert_eq!(answer.status, 503);
-    assert!(answer.head.field("retry-after").is_some(), "{answer:?}");
+    assert!(answer.head.header("retry-after").is_some(), "{answer:?}");
     // What is open is cut after 7.7 s.
     let took = start.elapsed();
     assert!(took < Duration::from_secs(7), "took {took:?}");
@@ -275,11 +286,11 @@
     waits.relay.signal(Signal::TERM);
     thread::sleep(Duration::from_millis(500));
     for engine in &waits.engines {
-        engine.set_act(Act::Stream(2));
+        engine.set_behaviour(Behaviour::Stream(2));
     }
     // Its client leaves, so the engines are free.
     drop(waits.first);
-    let answer = read_answer(&mut waits.second);
+    let answer = read_response(&mut waits.second);
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -177,13 +177,13 @@
         .collect();
     let is_answered = |record: &&&Record| {
         let answer = record.answer.as_ref();
-        answer.is_some_and(|answer| answer.status == 200 && answer.is_whole)
+        answer.is_some_and(|answer| answer.status == 200 && answer.is_complete)
     };
     let answered = last.iter().filter(is_answered).count();
     let newest = format!("nursery-{version}");
     let is_newest = |record: &&Record| {
         let answer = record.answer.as_ref();
-        answer.is_some_and(|answer| answer.text.ends_with(&newest))
+        answer.is_some_and(|answer| answer.body.ends_with(&newest))
     };
     let is_good = answered as f64 >= last.len() as f64 * LAST_SHARE && last.iter().any(is_newest);
     (!is_good).then(|| format!("{answered} of {} answered at the end", last.len()))
--- a/tests/soak/asked.rs
+++ b/tests/soak/asked.rs
@@ -45,7 +45,7 @@
 
 impl Sent<'_> {
     fn said(&self, name: &str) -> Option<f64> {
-        let mut lines = self.came.arrival.said.lines();
+        let mut lines = self.came.arrival.extra_headers.lines();
         let value = lines.find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))?;
         value.trim().parse().ok()
     }
@@ -53,8 +53,8 @@
     /// Whether the client got this very answer.
     fn is_passed_on(&self) -> bool {
         let answer = self.record.answer.as_ref();
-        let is_whole = answer.is_some_and(|answer| answer.status == 200 && answer.is_whole);
-        let said = answer.and_then(|answer| answer.head.field("server-leaving"));
+        let is_whole = answer.is_some_and(|answer| answer.status == 200 && answer.is_complete);
+        let said = answer.and_then(|answer| answer.head.header("server-leaving"));
         is_whole && said.is_some()
     }
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -15,11 +15,11 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::standin::client::read_answer;
-use crate::standin::client::Answer;
-use crate::standin::endpoint::DEADLY;
-use crate::standin::gateway::HOST;
-use crate::standin::gateway::KEY;
+use crate::standin::client::read_response;
+use crate::standin::client::Response;
+use crate::standin::endpoint::CRASH_MARKER;
+use crate::standin::gateway::API_KEY;
+use crate::standin::gateway::HOST_NAME;
 
 /// Time after which a client gives up; above each route's timeout.
 const PATIENCE: Duration = Duration::from_secs(6);
@@ -73,7 +73,7 @@
     pub(crate) sent: Instant,
     pub(crate) ended: Instant,
     /// `None` if the connection ended, or nothing came, before an answer's head.
-    pub(crate) answer: Option<Answer>,
+    pub(crate) answer: Option<Response>,
 }
 
 /// The clients, until they are told to stop.
@@ -104,7 +104,7 @@
     pub(crate) fn add_deadly(&mut self, seed: u64, gateways: &[SocketAddr]) {
         let mut caller = Caller {
             numbers: ChaCha8Rng::seed_from_u64(seed),
-            name: format!("{seed:x}-{DEADLY}"),
+            name: format!("{seed:x}-{CRASH_MARKER}"),
             gateways: gateways.to_vec(),
             records: Vec::new(),
         };
@@ -114,7 +114,7 @@
                 thread::sleep(PAUSE);
                 let gateway = caller.below(caller.gateways.len() as u32) as usize;
                 if let Ok(mut stream) = connect(caller.gateways[gateway]) {
-                    caller.send(gateway, &mut stream, false, Kind::OpenTalk, DEADLY);
+                    caller.send(gateway, &mut stream, false, Kind::OpenTalk, CRASH_MARKER);
                 }
             }
             caller.records
@@ -182,29 +182,29 @@
         let id = format!("{}-{}", self.name, self.records.len());
         let key = match kind {
             Kind::OpenTalk => String::new(),
-            _ => format!("Credential: {KEY}\r\n"),
+            _ => format!("Credential: {API_KEY}\r\n"),
         };
         let text = format!(
-            "POST {} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {id}\r\nDeadline-Ms: 5000\r\n\
+            "POST {} HTTP/1.1\r\nHost: {HOST_NAME}\r\nRequest-Id: {id}\r\nDeadline-Ms: 5000\r\n\
              {key}Token-Count: 900,200\r\nContent-Length: {}\r\n\r\n{body}",
             kind.path(),
             body.len(),
         );
         let sent = Instant::now();
         let is_sent = stream.write_all(text.as_bytes()).is_ok();
-        let answer = is_sent.then(|| read_answer(stream));
+        let answer = is_sent.then(|| read_response(stream));
         let answer = answer.filter(|answer| answer.status != 0);
-        let closes = |answer: &Answer| {
-            let field = answer.head.field("connection").unwrap_or_default();
+        let closes = |answer: &Response| {
+            let field = answer.head.header("connection").unwrap_or_default();
             field.eq_ignore_ascii_case("close")
         };
-        let may_go_on = answer.as_ref().is_some_and(|a| a.is_whole && !closes(a));
+        let may_go_on = answer.as_ref().is_some_and(|a| a.is_complete && !closes(a));
         self.records.push(Record {
             id,
             kind,
             gateway,
             is_kept,
-            is_deadly: body == DEADLY,
+            is_deadly: body == CRASH_MARKER,
             sent,
             ended: Instant::now(),
             answer,
--- a/tests/soak/check.rs
+++ b/tests/soak/check.rs
@@ -94,21 +94,21 @@
         if answer.status != 200 {
             return;
         }
-        let echoed = answer.head.field("request-id");
-        if echoed != Some(&record.id) || answer.head.field("server-stamp").is_none() {
+        let echoed = answer.head.header("request-id");
+        if echoed != Some(&record.id) || answer.head.header("server-stamp").is_none() {
             found.push(format!("{} got another one's answer", record.id));
         }
-        if !answer.is_whole {
+        if !answer.is_complete {
             return;
         }
         let is_good = match record.kind.is_stream() {
-            true => answer.text == whole_stream() || is_whole_text(record, &answer.text),
-            false => is_whole_text(record, &answer.text),
+            true => answer.body == whole_stream() || is_whole_text(record, &answer.body),
+            false => is_whole_text(record, &answer.body),
         };
         if !is_good {
             found.push(format!(
                 "{} got a spoiled answer: {:?}",
-                record.id, answer.text
+                record.id, answer.body
             ));
         }
     }
@@ -234,7 +234,7 @@
 /// Whether the client was told that such requests are held.
 fn is_held(record: &Record) -> bool {
     let answer = record.answer.as_ref();
-    answer.is_some_and(|answer| answer.text.contains("quarantined"))
+    answer.is_some_and(|answer| answer.body.contains("quarantined"))
 }
 
 /// The version that the answer names.
@@ -243,7 +243,7 @@
     if record.kind != Kind::Safe && record.kind != Kind::Once {
         return None;
     }
-    let (_, version) = answer.text.split_once("nursery-")?;
+    let (_, version) = answer.body.split_once("nursery-")?;
     version.parse().ok()
 }
 
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -4,7 +4,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::standin::endpoint::Act;
+use crate::standin::endpoint::Behaviour;
 use crate::standin::store::Mode;
 use crate::world::ENDPOINTS;
 use crate::world::GATEWAYS;
@@ -33,7 +33,7 @@
     StoreRolledBack(u64, u64),
     EndpointPath(usize, PathFault),
     EndpointPathHealed(usize),
-    EndpointActs(usize, Act),
+    EndpointActs(usize, Behaviour),
     EndpointWell(usize),
     EndpointLeaves(usize),
     /// It says this of itself in all its answers, as whole lines of their heads.
@@ -151,7 +151,7 @@
                 self.add(end_ms, Step::StorePathHealed(gateway));
             }
             2 => {
-                let mode = [Mode::Busy, Mode::Silent][self.below(2) as usize];
+                let mode = [Mode::Unavailable, Mode::Silent][self.below(2) as usize];
                 self.add(at_ms, Step::StoreMode(mode));
                 self.add(end_ms, Step::StoreMode(Mode::Up));
             }
@@ -245,7 +245,7 @@
             _ => {
                 let rest = format!("Retry-After: {}.5\r\n", 1 + self.below(3));
                 self.add(at_ms, Step::EndpointSays(endpoint, rest));
-                self.add(at_ms, Step::EndpointActs(endpoint, Act::Refuse(None)));
+                self.add(at_ms, Step::EndpointActs(endpoint, Behaviour::Refuse(None)));
                 self.add(end_ms, Step::EndpointSays(endpoint, String::new()));
                 self.add(end_ms, Step::EndpointWell(endpoint));
             }
@@ -265,17 +265,17 @@
         all[self.below(all.len() as u64) as usize]
     }
 
-    fn act(&mut self) -> Act {
+    fn act(&mut self) -> Behaviour {
         let all = [
-            Act::Fail,
-            Act::Hang,
-            Act::Reset,
-            Act::Unsigned,
-            Act::Twice,
-            Act::OtherId,
-            Act::Short,
-            Act::BreakAfter(3),
-            Act::Refuse(None),
+            Behaviour::Fail,
+            Behaviour::Hang,
+            Behaviour::Reset,
+            Behaviour::Unsigned,
+            Behaviour::AnswerTwice,
+            Behaviour::OtherRequestId,
+            Behaviour::Truncated,
+            Behaviour::BreakAfter(3),
+            Behaviour::Refuse(None),
         ];
         all[self.below(all.len() as u64) as usize].clone()
     }
--- a/tests/soak/planted.rs
+++ b/tests/soak/planted.rs
@@ -13,21 +13,21 @@
 use crate::history::History;
 use crate::history::Leave;
 use crate::history::Life;
-use crate::standin::client::Answer;
+use crate::standin::client::Response;
 use crate::standin::endpoint::Arrival;
 use crate::standin::endpoint::Run;
 use crate::standin::Message;
 
-fn answer(id: &str, status: u16, text: &str) -> Answer {
+fn answer(id: &str, status: u16, text: &str) -> Response {
     let field = |name: &str, value: &str| (name.to_string(), value.to_string());
-    Answer {
+    Response {
         status,
         head: Message {
-            fields: vec![field("request-id", id), field("server-stamp", "3e1b")],
+            headers: vec![field("request-id", id), field("server-stamp", "3e1b")],
             ..Message::default()
         },
-        text: text.to_string(),
-        is_whole: true,
+        body: text.to_string(),
+        is_complete: true,
     }
 }
 
@@ -191,7 +191,7 @@
         let mut answer = answer(&record.id, status, &format!("r-{number} nursery-1"));
         if planted.said.starts_with("Server-Leaving") {
             let field = ("server-leaving".to_string(), "1".to_string());
-            answer.head.fields.push(field);
+            answer.head.headers.push(field);
         }
         record.answer = Some(answer);
         came.push(Came {
@@ -201,7 +201,7 @@
             arrival: Arrival {
                 request_id: record.id.clone(),
                 at: record.sent,
-                said: planted.said.to_string(),
+                extra_headers: planted.said.to_string(),
                 is_refused: planted.is_refused,
             },
         });
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -24,7 +24,7 @@
 use crate::host::GRACE_S;
 use crate::plan::PathFault;
 use crate::plan::Step;
-use crate::standin::endpoint::Act;
+use crate::standin::endpoint::Behaviour;
 use crate::standin::endpoint::Endpoint;
 use crate::standin::endpoint::Run;
 use crate::standin::gateway::configuration;
@@ -94,7 +94,7 @@
     /// Starts everything; files go below `folder`.
     pub(crate) fn start(folder: &std::path::Path, port: u16, nature: Nature) -> Self {
         let store = Store::start();
-        store.tell_era();
+        store.send_era();
         let mut world = Self {
             places: Vec::new(),
             hosts: Vec::new(),
@@ -172,7 +172,7 @@
         let of = |place: usize, endpoint: &Endpoint| {
             let id = endpoint.id.clone();
             let life = endpoint.address;
-            endpoint.came().into_iter().map(move |arrival| Came {
+            endpoint.arrivals().into_iter().map(move |arrival| Came {
                 place,
                 id: id.clone(),
                 life,
@@ -348,10 +348,12 @@
                 let is_away = place.crashed.is_some();
                 place.path.refuse(is_away).expect("a listener");
             }
-            Step::EndpointActs(number, act) => self.places[*number].present.set_act(act.clone()),
+            Step::EndpointActs(number, act) => {
+                self.places[*number].present.set_behaviour(act.clone())
+            }
             Step::EndpointWell(number) => {
                 let well = self.nature.well(*number);
-                self.places[*number].present.set_act(well);
+                self.places[*number].present.set_behaviour(well);
             }
             Step::EndpointLeaves(number) => {
                 self.list(*number, "draining");
@@ -360,10 +362,12 @@
                 let at = Instant::now();
                 self.history.leaves.push(Leave { id, at });
             }
-            Step::EndpointSays(number, says) => self.places[*number].present.set_says(says),
+            Step::EndpointSays(number, says) => {
+                self.places[*number].present.set_extra_headers(says)
+            }
             Step::StoreRolledBack(age_ms, write_again_ms) => {
                 self.history.upset(What::Store);
-                self.store.set_mode(Mode::Busy);
+                self.store.set_mode(Mode::Unavailable);
                 std::thread::sleep(AWAY_FOR_A_MOMENT);
                 self.store.roll_back_by(Duration::from_millis(*age_ms));
                 self.store.set_mode(Mode::Up);
@@ -431,7 +435,7 @@
         for number in 0..ENDPOINTS {
             let place = &mut self.places[number];
             let Some(crashed) = place.crashed else {
-                if place.present.has_ended() {
+                if place.present.has_terminated() {
                     place.path.refuse(true).expect("a listener");
                     place.path.cut();
                     place.crashed = Some(Instant::now());
@@ -532,11 +536,11 @@
 
 impl Nature {
     /// What an endpoint does when all is well.
-    fn well(self, number: usize) -> Act {
+    fn well(self, number: usize) -> Behaviour {
         match number < PLAIN_ENDPOINTS {
-            true => Act::Work(15),
-            false if self.is_mortal => Act::Crash(EVENTS),
-            false => Act::Stream(EVENTS),
+            true => Behaviour::AnswerAfter(15),
+            false if self.is_mortal => Behaviour::Crash(EVENTS),
+            false => Behaviour::Stream(EVENTS),
         }
     }
 }
