--- a/src/command/account.rs
+++ b/src/command/account.rs
@@ -1,4 +1,4 @@
-//! `marigoldstage account`: what a day came to, from the logs of the gateways.
+//! `marigoldstage account`: summarises outcomes and losses from the logs of the gateways.
 
 use std::fs;
 use std::io::Write;
@@ -10,9 +10,9 @@
 use crate::account::plot;
 use crate::account::sheet;
 use crate::account::Account;
-use crate::command::explain::failed;
+use crate::command::explain::io_error;
 use crate::command::explain::logs_argument;
-use crate::command::explain::read_all;
+use crate::command::explain::read_logs;
 use crate::command::explain::LOGS;
 use crate::error::Error;
 use crate::explain::Line;
@@ -25,15 +25,15 @@
   marigoldstage account /var/log/front-*.log
   collect-logs | marigoldstage account --csv day.csv --plot day.svg
 
-Reads JSON lines as `explain` does. Prints how much of their worth requests lost, by kind, length of the prompt,
+Reads JSON lines as `explain` does. Prints the share of the requests' worth that was lost, by kind, length of the prompt,
 availability zone, cause and second, which endpoints refused to help with others' prompts, and calls to the store
-and bytes by what they were for. A request's worth is 1 for the mean of its kind; longer ones are worth more,
-late ones a quarter. A client that comes back is counted as another request.";
+and bytes by purpose. A request's worth is 1 for the mean of its kind; longer ones are worth more,
+late ones a quarter. A client that retries is counted as another request.";
 
 /// Declares the subcommand.
 pub fn command() -> Command {
     Command::new("account")
-        .about("Tell what a day came to, from the logs of the gateways")
+        .about("Summarise outcomes and losses from the logs of the gateways")
         .after_help(EXAMPLES)
         .arg(
             Arg::new(CSV)
@@ -45,15 +45,15 @@
             Arg::new(PLOT)
                 .long(PLOT)
                 .value_name("FILE")
-                .help("Draw the share lost by each kind, second by second, as SVG"),
+                .help("Plot the share lost by each kind, second by second, as SVG"),
         )
         .arg(logs_argument())
 }
 
-/// Reads the logs and prints the account.
+/// Reads the logs, prints the summary and writes the CSV and the plot that are asked for.
 pub fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     let files: Vec<&String> = matches.get_many(LOGS).into_iter().flatten().collect();
-    let lines = read_all(&files, &|text, file| Line::of_log(text, file))?;
+    let lines = read_logs(&files, &|text, file| Line::of_log(text, file))?;
     let account = Account::of(lines);
     if let Some(file) = matches.get_one::<String>(CSV) {
         let text = sheet::text(&account).map_err(|error| Error::Failed(error.to_string()))?;
@@ -63,9 +63,9 @@
         let drawing = plot::svg(&account).map_err(Error::Failed)?;
         write_file(file, &drawing)?;
     }
-    write!(out, "{account}").map_err(|error| failed("standard output", &error))
+    write!(out, "{account}").map_err(|error| io_error("standard output", &error))
 }
 
 fn write_file(file: &str, text: &str) -> Result<(), Error> {
-    fs::write(file, text).map_err(|error| failed(file, &error))
+    fs::write(file, text).map_err(|error| io_error(file, &error))
 }
--- a/src/command/completions.rs
+++ b/src/command/completions.rs
@@ -1,4 +1,4 @@
-//! `marigoldstage completions`: a completion script for a shell.
+//! `marigoldstage completions`: prints a completion script for a shell.
 
 use std::io::Write;
 
@@ -27,11 +27,11 @@
             Arg::new(SHELL)
                 .required(true)
                 .value_parser(value_parser!(Shell))
-                .help("The shell that reads the script"),
+                .help("Shell to print the script for"),
         )
 }
 
-/// Prints the script.
+/// Prints the completion script of the shell that is given.
 pub fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     let shell = matches
         .get_one::<Shell>(SHELL)
--- a/src/command/endpoint.rs
+++ b/src/command/endpoint.rs
@@ -1,4 +1,4 @@
-//! `marigoldstage endpoint`: declaring, starting and stopping endpoints.
+//! `marigoldstage endpoint`: lists, declares, starts, stops and removes endpoints.
 
 use std::io::Write;
 
@@ -30,7 +30,7 @@
   marigoldstage endpoint stop engine-7 engine-8 --wait
   marigoldstage endpoint list
 
-A stopped endpoint finishes the work that it has and gets no more.
+A stopped endpoint finishes the requests that it has and gets no new ones.
 Cells: kind (engine or service), sidecar_address, zone, models (separated by spaces; for a service
 its one name), checks_orders (the endpoint itself refuses an order with an old fencing number),
 span (it can hold a part of a prompt that exceeds one engine's memory), started.";
@@ -57,13 +57,13 @@
         )
         .subcommand(
             Command::new("start")
-                .about("Let endpoints take work")
+                .about("Let endpoints take requests")
                 .arg(names())
                 .args(edit::arguments()),
         )
         .subcommand(
             Command::new("stop")
-                .about("Let endpoints finish their work and take no more")
+                .about("Let endpoints finish their requests and take no new ones")
                 .arg(names())
                 .args(edit::arguments()),
         )
@@ -82,7 +82,8 @@
         .required(true)
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand given in `matches`; editing commands fail with [`Error::Conflict`] if the
+/// same row was changed meanwhile.
 pub fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     match matches.subcommand() {
         Some(("list", matches)) => list(matches, out),
@@ -90,7 +91,7 @@
         Some(("start", matches)) => set_started(matches, true, out),
         Some(("stop", matches)) => set_started(matches, false, out),
         Some(("remove", matches)) => {
-            let key = RowKey::Endpoint(table::text(matches, NAME).to_string());
+            let key = RowKey::Endpoint(table::argument_text(matches, NAME).to_string());
             table::remove_row(matches, &key, out)
         }
         _ => Err(Error::Usage("give a subcommand of `endpoint`".to_string())),
@@ -109,7 +110,7 @@
 fn set(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     let editor = Editor::open(matches)?;
     let table = editor.session().load()?;
-    let name = table::text(matches, NAME);
+    let name = table::argument_text(matches, NAME);
     let before = table.endpoint(name).cloned();
     let mut row = RowValue::Endpoint(before.clone().unwrap_or_else(|| EndpointRow {
         name: name.to_string(),
@@ -118,12 +119,12 @@
     }));
     table::set_cells(&mut row, matches)?;
     if row.key() != RowKey::Endpoint(name.to_string()) {
-        let text = "the name names the row; it can't be set";
+        let text = "the name is the row's key; it can't be set";
         return Err(Error::Usage(text.to_string()));
     }
     let unchanged = before.map(RowValue::Endpoint).as_ref() == Some(&row);
     let changes = if unchanged { vec![] } else { vec![row.set()] };
-    editor.make(&table, changes, out)
+    editor.submit(&table, changes, out)
 }
 
 fn set_started(matches: &ArgMatches, started: bool, out: &mut dyn Write) -> Result<(), Error> {
@@ -143,7 +144,7 @@
         let text = format!("no such endpoint: {}", unknown.join(", "));
         return Err(Error::Usage(text));
     }
-    editor.make(&table, changes, out)
+    editor.submit(&table, changes, out)
 }
 
 fn with_started(row: &EndpointRow, started: bool) -> Change {
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `marigoldstage explain`: what happened to one request, from the logs of the gateways.
+//! `marigoldstage explain`: traces one request through the logs of the gateways.
 
 use std::fs::File;
 use std::io::stdin;
@@ -18,7 +18,7 @@
 use crate::explain::Line;
 use crate::explain::Story;
 
-const REQUEST: &str = "request-id";
+const REQUEST_ID: &str = "request-id";
 pub(super) const LOGS: &str = "logs";
 const ALL: &str = "all";
 const SIZES: &str = "sizes";
@@ -31,17 +31,17 @@
   marigoldstage explain --sizes /var/log/front-*.log
 
 Reads JSON lines, from files or from standard input; text before a line's JSON, such as a host's name, is
-taken for its source. Prints the request's lines in order of time and then why it ended as it did. Exit
+shown as its source. Prints the request's lines in order of time and then the cause of its outcome. Exit
 code 1 if no line names it. Times are those of each host's own clock. With --all, counts by route why
-requests weren't on time; with --sizes, tells by route whether the longest are answered as often as the others.";
+requests weren't on time; with --sizes, shows by route whether the longest are answered as often as the others.";
 
 /// Declares the subcommand.
 pub fn command() -> Command {
     Command::new("explain")
-        .about("Tell what happened to one request, from the logs of the gateways")
+        .about("Show what happened to one request, from the logs of the gateways")
         .after_help(EXAMPLES)
         .arg(
-            Arg::new(REQUEST)
+            Arg::new(REQUEST_ID)
                 .value_name("REQUEST-ID")
                 .required_unless_present_any([ALL, SIZES])
                 .help("The identifier that the client sent"),
@@ -62,71 +62,71 @@
         .arg(logs_argument())
 }
 
-/// The files that are read.
+/// Declares the log files to read.
 pub(super) fn logs_argument() -> Arg {
     Arg::new(LOGS)
         .value_name("FILE")
         .action(ArgAction::Append)
         .num_args(0..)
-        .help("Logs; standard input without any")
+        .help("Log files; standard input if none is given")
 }
 
-/// Reads the logs and prints the story.
+/// Reads the logs and prints what happened to the request, or statistics over all requests.
 pub fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let first: Option<&String> = matches.get_one(REQUEST);
+    let first_argument: Option<&String> = matches.get_one(REQUEST_ID);
     let mut files: Vec<&String> = matches.get_many(LOGS).into_iter().flatten().collect();
     if matches.get_flag(ALL) || matches.get_flag(SIZES) {
-        // Without an identifier, what stands in its place is the first file.
-        files.splice(0..0, first);
-        let lines = read_all(&files, &|text, file| Line::of_any(text, file))?;
-        let told = match matches.get_flag(ALL) {
+        // No identifier is given here, so the first positional argument is a log file.
+        files.splice(0..0, first_argument);
+        let lines = read_logs(&files, &|text, file| Line::of_any(text, file))?;
+        let printed = match matches.get_flag(ALL) {
             true => write!(out, "{}", Summary::of(lines)),
             false => write!(out, "{}", Sizes::of(lines)),
         };
-        return told.map_err(|error| failed("standard output", &error));
+        return printed.map_err(|error| io_error("standard output", &error));
     }
-    let request_id = first.expect("BUG: clap requires it");
-    let lines = read_all(&files, &|text, file| Line::read(text, request_id, file))?;
+    let request_id = first_argument.expect("BUG: clap requires it");
+    let lines = read_logs(&files, &|text, file| Line::read(text, request_id, file))?;
     let story = Story::of(lines);
-    let is_known = !story.lines.is_empty();
-    let told = writeln!(out, "{story}{}", cause(&story));
-    told.map_err(|error| failed("standard output", &error))?;
-    match is_known {
+    let is_found = !story.lines.is_empty();
+    let printed = writeln!(out, "{story}{}", cause(&story));
+    printed.map_err(|error| io_error("standard output", &error))?;
+    match is_found {
         true => Ok(()),
         false => Err(Error::Failed(format!("{request_id} isn't in these logs"))),
     }
 }
 
-/// Understands a line of a file, or passes it over.
-pub(super) type Reader<'a> = &'a dyn Fn(&str, &str) -> Option<Line>;
+/// Parses a line of the file whose name is the second argument; `None` for lines to skip.
+pub(super) type LineParser<'a> = &'a dyn Fn(&str, &str) -> Option<Line>;
 
-pub(super) fn read_all(files: &[&String], reader: Reader<'_>) -> Result<Vec<Line>, Error> {
+pub(super) fn read_logs(files: &[&String], parser: LineParser<'_>) -> Result<Vec<Line>, Error> {
     let mut lines = Vec::new();
     for file in files {
-        let opened = File::open(file).map_err(|error| failed(file, &error))?;
-        read(BufReader::new(opened), reader, file, &mut lines)?;
+        let opened = File::open(file).map_err(|error| io_error(file, &error))?;
+        read_log(BufReader::new(opened), parser, file, &mut lines)?;
     }
     if files.is_empty() {
-        read(stdin().lock(), reader, "-", &mut lines)?;
+        read_log(stdin().lock(), parser, "-", &mut lines)?;
     }
     Ok(lines)
 }
 
-fn read(
+fn read_log(
     log: impl BufRead,
-    reader: Reader<'_>,
+    parser: LineParser<'_>,
     file: &str,
     lines: &mut Vec<Line>,
 ) -> Result<(), Error> {
-    // Bytes that are no text, as of a line that was cut, spoil their own line only.
+    // Invalid UTF-8, such as from a truncated line, affects only its own line.
     for line in log.split(b'\n') {
-        let line = line.map_err(|error| failed(file, &error))?;
+        let line = line.map_err(|error| io_error(file, &error))?;
         let line = String::from_utf8_lossy(&line);
-        lines.extend(reader(&line, file));
+        lines.extend(parser(&line, file));
     }
     Ok(())
 }
 
-pub(super) fn failed(what: &str, error: &std::io::Error) -> Error {
+pub(super) fn io_error(what: &str, error: &std::io::Error) -> Error {
     Error::Failed(format!("{what}: {error}"))
 }
--- a/src/command/gateway/numbers.rs
+++ b/src/command/gateway/number_settings.rs
@@ -1,171 +1,171 @@
-//! The numbers among the settings of a gateway.
+//! Whole-number settings of a gateway.
 
 use mgs_gateway::gateway::Options;
 
-use crate::setting::number::Number;
+use crate::setting::number::NumberSetting;
 use crate::setting::number::MS_MAX;
 
-/// Every number, in the order of the help.
-pub(super) const NUMBERS: [Number<Options>; 18] = [
-    Number {
+/// All whole-number settings, in the order in which the help shows them.
+pub(super) const NUMBER_SETTINGS: [NumberSetting<Options>; 18] = [
+    NumberSetting {
         flag: "leave-grace-ms",
         unit: "MS",
-        help: "Time from the signal to stop to the refusal of new requests",
-        least: 0,
-        most: MS_MAX,
+        help: "Time from the stop signal until new requests are refused",
+        min: 0,
+        max: MS_MAX,
         get: |o| o.leave_grace_ms,
         set: |o, n| o.leave_grace_ms = n,
     },
-    Number {
+    NumberSetting {
         flag: "caller-read-timeout-ms",
         unit: "MS",
-        help: "Longest silence of a caller within and between requests",
-        least: 100,
-        most: MS_MAX,
+        help: "Maximum time without data from a caller, within and between requests",
+        min: 100,
+        max: MS_MAX,
         get: |o| o.callers.read_timeout_ms,
         set: |o, n| o.callers.read_timeout_ms = n,
     },
-    Number {
+    NumberSetting {
         flag: "caller-write-timeout-ms",
         unit: "MS",
-        help: "Longest time that a caller takes no byte of its answer",
-        least: 100,
-        most: MS_MAX,
+        help: "Maximum time in which a caller reads no byte of its answer",
+        min: 100,
+        max: MS_MAX,
         get: |o| o.callers.write_timeout_ms,
         set: |o, n| o.callers.write_timeout_ms = n,
     },
-    Number {
+    NumberSetting {
         flag: "body-timeout-ms",
         unit: "MS",
-        help: "Longest time for a whole body",
-        least: 100,
-        most: MS_MAX,
+        help: "Maximum time to receive a whole body",
+        min: 100,
+        max: MS_MAX,
         get: |o| o.callers.body_timeout_ms,
         set: |o, n| o.callers.body_timeout_ms = n,
     },
-    Number {
+    NumberSetting {
         flag: "body-max-bytes",
         unit: "BYTES",
-        help: "Largest body; a million tokens need over 4 MB",
-        least: 1024,
-        most: 1 << 30,
+        help: "Maximum size of a body; a million tokens need over 4 MB",
+        min: 1024,
+        max: 1 << 30,
         get: |o| o.callers.body_max_bytes as u64,
         set: |o, n| o.callers.body_max_bytes = n as usize,
     },
-    Number {
+    NumberSetting {
         flag: "open-max",
         unit: "N",
-        help: "Most requests open at once; more are refused",
-        least: 1,
-        most: 100_000,
+        help: "Maximum number of open requests; more are refused",
+        min: 1,
+        max: 100_000,
         get: |o| o.callers.open_max as u64,
         set: |o, n| o.callers.open_max = n as usize,
     },
-    Number {
+    NumberSetting {
         flag: "report-interval-ms",
         unit: "MS",
-        help: "Time between load reports asked of sidecars",
-        least: 10,
-        most: MS_MAX,
+        help: "Interval between load reports requested from sidecars",
+        min: 10,
+        max: MS_MAX,
         get: |o| o.report_interval_ms,
         set: |o, n| o.report_interval_ms = n,
     },
-    Number {
+    NumberSetting {
         flag: "report-ms-per-session",
         unit: "MS",
-        help: "Time between load reports that each session beyond the 20th adds",
-        least: 0,
-        most: MS_MAX,
+        help: "Increase of the load report interval for each session beyond the 20th",
+        min: 0,
+        max: MS_MAX,
         get: |o| o.report_ms_per_session,
         set: |o, n| o.report_ms_per_session = n,
     },
-    Number {
+    NumberSetting {
         flag: "connect-timeout-ms",
         unit: "MS",
-        help: "Longest wait for a connection to a sidecar",
-        least: 1,
-        most: MS_MAX,
+        help: "Timeout for connecting to a sidecar",
+        min: 1,
+        max: MS_MAX,
         get: |o| o.transport.connect_timeout_ms,
         set: |o, n| o.transport.connect_timeout_ms = n,
     },
-    Number {
+    NumberSetting {
         flag: "ping-interval-ms",
         unit: "MS",
-        help: "Time between pings of each connection",
-        least: 10,
-        most: MS_MAX,
+        help: "Interval between pings on each connection",
+        min: 10,
+        max: MS_MAX,
         get: |o| o.transport.ping_interval_ms,
         set: |o, n| o.transport.ping_interval_ms = n,
     },
-    Number {
+    NumberSetting {
         flag: "ping-timeout-ms",
         unit: "MS",
-        help: "Silence after which a connection is given up",
-        least: 10,
-        most: MS_MAX,
+        help: "Silence after which a connection is closed as dead",
+        min: 10,
+        max: MS_MAX,
         get: |o| o.transport.ping_timeout_ms,
         set: |o, n| o.transport.ping_timeout_ms = n,
     },
-    Number {
+    NumberSetting {
         flag: "transport-threads",
         unit: "N",
-        help: "Threads that drive connections to sidecars",
-        least: 1,
-        most: 64,
+        help: "Number of threads that drive connections to sidecars",
+        min: 1,
+        max: 64,
         get: |o| o.transport_threads as u64,
         set: |o, n| o.transport_threads = n as usize,
     },
-    Number {
+    NumberSetting {
         flag: "retry-earned-milli",
         unit: "N",
         help: "Retries allowed per 1000 first attempts",
-        least: 0,
-        most: 1_000,
+        min: 0,
+        max: 1_000,
         get: |o| o.retry_budget.earned_milli,
         set: |o, n| o.retry_budget.earned_milli = n,
     },
-    Number {
+    NumberSetting {
         flag: "retry-saved-max",
         unit: "N",
-        help: "Most retries saved up for a burst",
-        least: 0,
-        most: 1_000_000,
+        help: "Maximum number of unused retries saved for a burst",
+        min: 0,
+        max: 1_000_000,
         get: |o| o.retry_budget.saved_max,
         set: |o, n| o.retry_budget.saved_max = n,
     },
-    Number {
+    NumberSetting {
         flag: "settings-poll-interval-ms",
         unit: "MS",
-        help: "Time between looks for edits of the settings",
-        least: 10,
-        most: MS_MAX,
+        help: "Interval between polls for edits of the settings",
+        min: 10,
+        max: MS_MAX,
         get: |o| o.follow.poll_interval_ms,
         set: |o, n| o.follow.poll_interval_ms = n,
     },
-    Number {
+    NumberSetting {
         flag: "settings-reads-per-s",
         unit: "N",
-        help: "Reads per second that all gateways together spend on them",
-        least: 1,
-        most: 100_000,
+        help: "Reads per second that all gateways together may spend on these polls",
+        min: 1,
+        max: 100_000,
         get: |o| o.follow.reads_per_s,
         set: |o, n| o.follow.reads_per_s = n,
     },
-    Number {
+    NumberSetting {
         flag: "member-renew-ms",
         unit: "MS",
-        help: "Time between renewals of this gateway's row on the platform",
-        least: 100,
-        most: MS_MAX,
+        help: "Interval between renewals of this gateway's row on the platform",
+        min: 100,
+        max: MS_MAX,
         get: |o| o.member.renew_interval_ms,
         set: |o, n| o.member.renew_interval_ms = n,
     },
-    Number {
+    NumberSetting {
         flag: "member-lease-ms",
         unit: "MS",
-        help: "How long another gateway's row may stay unchanged before it counts as dead",
-        least: 100,
-        most: MS_MAX,
+        help: "Time for which another gateway's row may stay unchanged before the gateway counts as dead",
+        min: 100,
+        max: MS_MAX,
         get: |o| o.member.lease_ms,
         set: |o, n| o.member.lease_ms = n,
     },
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The tree of subcommands.
+//! Declares the subcommands, and parses and dispatches the command line.
 
 use std::ffi::OsString;
 use std::io;
@@ -12,6 +12,7 @@
 use crate::error::EXIT_CODES;
 
 pub mod account;
+pub mod common;
 pub mod completions;
 #[cfg(feature = "demo")]
 pub mod demo;
@@ -19,7 +20,6 @@
 pub mod explain;
 pub mod gateway;
 pub mod organisation;
-pub mod process;
 pub mod quarantine;
 pub mod relay;
 pub mod request;
@@ -35,66 +35,68 @@
 const EXAMPLES: &str = "\
 Start here:
   marigoldstage demo                      the whole system in one process, under a mixed load
-  marigoldstage demo --serve              the same, kept up, with a curl line to try
+  marigoldstage demo --serve              the same, kept running, with a curl command to try
 
 On the hosts:
-  marigoldstage gateway --help            the entry host's process, which callers talk to
+  marigoldstage gateway --help            the process of an entry host, to which callers connect
   marigoldstage sidecar --help            the process beside each endpoint
 
 From an operator's shell:
   marigoldstage table get                 the rows of weights, limits and priorities
-  marigoldstage endpoint stop engine-7    let an endpoint finish its work and take no more
-  marigoldstage status                    what each process says of itself
+  marigoldstage endpoint stop engine-7    let an endpoint finish its requests and take no new ones
+  marigoldstage status                    readiness and main counters of each process
   marigoldstage explain ID LOG...         what happened to one request
-  marigoldstage account LOG...            what a day came to
-  marigoldstage quarantine list           requests that are held since they crash endpoints
+  marigoldstage account LOG...            outcomes and losses over all requests
+  marigoldstage quarantine list           requests that are held because they crashed endpoints
 
 Every setting is a flag and an environment variable: `--log-level` is MARIGOLDSTAGE_LOG_LEVEL.
-The flag goes first. All settings are checked before anything starts.
+The flag takes precedence. All settings are checked before anything starts.
 ";
 
-/// What runs a subcommand.
-type Run = fn(&ArgMatches, &mut dyn Write) -> Result<(), Error>;
+/// Runs a subcommand with its parsed arguments and writes its output.
+type Handler = fn(&ArgMatches, &mut dyn Write) -> Result<(), Error>;
 
-/// A subcommand: its declaration and what runs it.
-struct Entry {
+/// A subcommand: its declaration and the function that runs it.
+struct Subcommand {
     command: Command,
-    run: Run,
+    run: Handler,
 }
 
-fn entry(command: Command, run: Run) -> Entry {
-    Entry { command, run }
+fn subcommand(command: Command, run: Handler) -> Subcommand {
+    Subcommand { command, run }
 }
 
-fn entries() -> Vec<Entry> {
+fn subcommands() -> Vec<Subcommand> {
     vec![
-        entry(gateway::command(), gateway::run),
-        entry(relay::command(), relay::run),
-        entry(sidecar::command(), sidecar::run),
-        entry(table::command(), table::run),
-        entry(endpoint::command(), endpoint::run),
-        entry(organisation::command(), organisation::run),
-        entry(request::command(), request::run),
-        entry(status::command(), status::run),
-        entry(explain::command(), explain::run),
-        entry(account::command(), account::run),
-        entry(quarantine::command(), quarantine::run),
+        subcommand(gateway::command(), gateway::run),
+        subcommand(relay::command(), relay::run),
+        subcommand(sidecar::command(), sidecar::run),
+        subcommand(table::command(), table::run),
+        subcommand(endpoint::command(), endpoint::run),
+        subcommand(organisation::command(), organisation::run),
+        subcommand(request::command(), request::run),
+        subcommand(status::command(), status::run),
+        subcommand(explain::command(), explain::run),
+        subcommand(account::command(), account::run),
+        subcommand(quarantine::command(), quarantine::run),
         #[cfg(feature = "demo")]
-        entry(demo::command(), demo::run),
+        subcommand(demo::command(), demo::run),
         #[cfg(feature = "demo")]
-        entry(standin::command(), standin::run),
-        entry(completions::command(), completions::run),
+        subcommand(standin::command(), standin::run),
+        subcommand(completions::command(), completions::run),
     ]
 }
 
-/// The whole command line.
+/// Declares the whole command line.
 ///
 /// ```
 /// let command = marigoldstage::command::command();
 /// assert!(command.find_subcommand("table").is_some());
 /// ```
 pub fn command() -> Command {
-    let commands = entries().into_iter().map(|entry| entry.command);
+    let commands = subcommands()
+        .into_iter()
+        .map(|subcommand| subcommand.command);
     Command::new("marigoldstage")
         .version(env!("CARGO_PKG_VERSION"))
         .about(ABOUT)
@@ -109,22 +111,23 @@
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let matches = match command().try_get_matches_from(arguments) {
         Ok(matches) => matches,
-        Err(error) => return usage(&error),
+        Err(error) => return print_parse_error(&error),
     };
     match dispatch(&matches, &mut io::stdout()) {
         Ok(()) => ExitCode::SUCCESS,
-        // As when `head` has read enough: nothing to tell.
+        // The reader, such as `head`, has closed the pipe: no error message.
         Err(error @ Error::OutputClosed) => error.exit_code(),
         Err(error) => {
-            // Standard error may be closed; there is nobody left to tell.
+            // A failed write to standard error can't be reported anywhere.
             let _ = writeln!(io::stderr(), "error: {error}");
             error.exit_code()
         }
     }
 }
 
-/// Help and version are a success, anything else that the parser ends with is bad usage.
-fn usage(error: &clap::Error) -> ExitCode {
+/// Prints what the parser returned instead of arguments: the help or the version, which are a
+/// success, or an error, which is bad usage.
+fn print_parse_error(error: &clap::Error) -> ExitCode {
     let _ = error.print();
     match error.exit_code() {
         0 => ExitCode::SUCCESS,
@@ -132,13 +135,14 @@
     }
 }
 
+/// Runs the subcommand that the parser found.
 fn dispatch(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     let (name, matches) = matches
         .subcommand()
         .expect("BUG: the parser requires a subcommand");
-    let entry = entries()
+    let subcommand = subcommands()
         .into_iter()
-        .find(|entry| entry.command.get_name() == name)
-        .expect("BUG: the parser knows only the subcommands of the list");
-    (entry.run)(matches, out)
+        .find(|subcommand| subcommand.command.get_name() == name)
+        .expect("BUG: the parser accepts only declared subcommands");
+    (subcommand.run)(matches, out)
 }
--- a/src/command/organisation.rs
+++ b/src/command/organisation.rs
@@ -1,4 +1,5 @@
-//! `marigoldstage organisation`: organisations and their bearer keys.
+//! `marigoldstage organisation`: lists, creates and removes organisations and manages their bearer
+//! keys.
 
 use std::io::Write;
 
@@ -23,20 +24,20 @@
 const NAME: &str = "name";
 const REVOKE: &str = "revoke";
 
-/// Marks a bearer key of the system, so that one that leaks is recognised.
+/// Prefix of every bearer key, by which secret scanners can recognise a leaked key.
 const KEY_PREFIX: &str = "mgs_";
 
-/// Fewest digits of a digest that name a key.
+/// Minimum number of leading digits of a digest that identify a key to revoke.
 const REVOKE_DIGITS_MIN: usize = 8;
 
 const EXAMPLES: &str = "\
 Examples:
   marigoldstage organisation create org-1       prints its first bearer key, once
-  marigoldstage organisation key org-1          prints another one, for a change of keys
-  marigoldstage organisation list                 digests of the keys, never the keys
+  marigoldstage organisation key org-1          prints another one, for key rotation
+  marigoldstage organisation list               digests of the keys, never the keys
   marigoldstage organisation key org-1 --revoke 3f9a2c01 --wait
 
-Only the SHA-256 digest of a key is kept; a key that is lost can't be shown again.";
+Only the SHA-256 digest of a key is stored; a lost key can't be shown again.";
 
 /// Declares the subcommand.
 pub fn command() -> Command {
@@ -61,16 +62,15 @@
                 .about("Add a key and print it, or revoke one")
                 .arg(name_argument())
                 .arg(
-                    Arg::new(REVOKE)
-                        .long(REVOKE)
-                        .value_name("DIGEST")
-                        .help("Revoke the key whose digest begins so, instead of adding one"),
+                    Arg::new(REVOKE).long(REVOKE).value_name("DIGEST").help(
+                        "Revoke the key whose digest begins with DIGEST, instead of adding one",
+                    ),
                 )
                 .args(edit::arguments()),
         )
         .subcommand(
             Command::new("remove")
-                .about("Remove an organisation; remove its rows of limits first")
+                .about("Remove an organisation; its rows of limits must be removed first")
                 .arg(name_argument())
                 .args(edit::arguments()),
         )
@@ -83,14 +83,15 @@
         .required(true)
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand given in `matches`; editing commands fail with [`Error::Conflict`] if the
+/// same row was changed meanwhile.
 pub fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     match matches.subcommand() {
         Some(("list", matches)) => list(matches, out),
         Some(("create", matches)) => create(matches, out),
         Some(("key", matches)) => key(matches, out),
         Some(("remove", matches)) => {
-            let key = RowKey::Organisation(table::text(matches, NAME).to_string());
+            let key = RowKey::Organisation(table::argument_text(matches, NAME).to_string());
             table::remove_row(matches, &key, out)
         }
         _ => Err(Error::Usage(
@@ -111,7 +112,7 @@
 fn create(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     let editor = Editor::open(matches)?;
     let table = editor.session().load()?;
-    let name = table::text(matches, NAME);
+    let name = table::argument_text(matches, NAME);
     if table.organisation(name).is_some() {
         let text = format!("{name} exists; `organisation key {name}` adds a key");
         return Err(Error::Conflict(text));
@@ -123,13 +124,13 @@
         ..OrganisationRow::default()
     };
     let changes = vec![RowValue::Organisation(row).set()];
-    print_key(&bearer_key, editor.make(&table, changes, out), out)
+    print_key(&bearer_key, editor.submit(&table, changes, out), out)
 }
 
 fn key(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     let editor = Editor::open(matches)?;
     let table = editor.session().load()?;
-    let name = table::text(matches, NAME);
+    let name = table::argument_text(matches, NAME);
     let Some(row) = table.organisation(name) else {
         return Err(Error::Usage(format!("no such organisation: {name}")));
     };
@@ -137,25 +138,27 @@
     if let Some(digest) = matches.get_one::<String>(REVOKE) {
         revoke(&mut row, digest)?;
         let changes = vec![RowValue::Organisation(row).set()];
-        return editor.make(&table, changes, out);
+        return editor.submit(&table, changes, out);
     }
     let bearer_key = new_key();
     row.key_digests.push(key_digest(&bearer_key));
     let changes = vec![RowValue::Organisation(row).set()];
-    print_key(&bearer_key, editor.make(&table, changes, out), out)
+    print_key(&bearer_key, editor.submit(&table, changes, out), out)
 }
 
 fn revoke(row: &mut OrganisationRow, digest: &str) -> Result<(), Error> {
     let found = row.key_digests.iter().filter(|d| d.starts_with(digest));
     if digest.len() < REVOKE_DIGITS_MIN || found.count() != 1 {
-        let text = format!("give at least {REVOKE_DIGITS_MIN} digits that begin one digest");
+        let text = format!(
+            "give at least {REVOKE_DIGITS_MIN} leading digits that match exactly one digest"
+        );
         return Err(Error::Usage(text));
     }
     row.key_digests.retain(|d| !d.starts_with(digest));
     Ok(())
 }
 
-/// 256 random bits from the system's generator.
+/// Generates a bearer key with 256 random bits.
 fn new_key() -> String {
     format!(
         "{KEY_PREFIX}{:032x}{:032x}",
@@ -164,7 +167,8 @@
     )
 }
 
-/// The key is printed whenever it may be in force: after a lost reply, too.
+/// Prints the key if the edit may have taken effect: on success, and also if the reply was lost or
+/// not every process has confirmed the edit in time.
 fn print_key(
     bearer_key: &str,
     result: Result<(), Error>,
--- a/src/command/quarantine.rs
+++ b/src/command/quarantine.rs
@@ -1,4 +1,5 @@
-//! `marigoldstage quarantine`: the requests that the relays hold since they crash endpoints.
+//! `marigoldstage quarantine`: lists and lifts the holds that relays put on requests that crash
+//! endpoints.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -17,8 +18,8 @@
 
 use crate::error::Error;
 use crate::error::EXIT_CODES;
-use crate::setting::value;
-use crate::setting::Values;
+use crate::setting::value_argument;
+use crate::setting::SettingValues;
 
 const STORE: &str = "store";
 const WORK: &str = "work";
@@ -28,51 +29,57 @@
   marigoldstage quarantine list --store 10.200.1.7:8223
   marigoldstage quarantine lift 0e1c5b0f7a3d4c2e9b8a7f6e5d4c3b2a --store 10.200.1.7:8223
 
-A relay holds requests for the same work (path, caller, service and body) after they have crashed a few endpoints. The lines
-of its log name the work of each request. Lift a hold when the endpoints were mended; if the work still crashes them, it is
-held again after as many as the first time.";
+A relay holds requests for the same work (path, caller, service and body) after they have crashed a few endpoints. Its log
+lines name the work of each request. Lift a hold once the endpoints are fixed; if the work still crashes them, it is
+held again after the same number of crashes as the first time.";
 
 /// Declares the subcommand.
 pub fn command() -> Command {
-    let store = || value(STORE, "ADDRESS", "Where the users' platform has its store");
+    let store = || {
+        value_argument(
+            STORE,
+            "ADDRESS",
+            "Address of the store of the users' platform",
+        )
+    };
     Command::new("quarantine")
-        .about("List the requests that the relays hold since they crash endpoints, and lift holds")
+        .about("List the requests that relays hold because they crashed endpoints, and lift holds")
         .after_help(format!("{EXAMPLES}\n\n{EXIT_CODES}"))
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
             Command::new("list")
-                .about("Show the works that are held")
+                .about("List the works that are held")
                 .arg(store()),
         )
         .subcommand(
             Command::new("lift")
-                .about("Let requests for a work go to endpoints again")
+                .about("Let requests for a work be dispatched to endpoints again")
                 .arg(
                     Arg::new(WORK)
                         .value_name("WORK")
                         .required(true)
-                        .value_parser(parse_work)
-                        .help("The work, as the logs and the list name it"),
+                        .value_parser(parse_work_key)
+                        .help("Key of the work, as shown in the logs and the list"),
                 )
                 .arg(store()),
         )
 }
 
-fn parse_work(text: &str) -> Result<WorkKey, String> {
+fn parse_work_key(text: &str) -> Result<WorkKey, String> {
     text.parse()
-        .map_err(|_| "a work has 32 hexadecimal digits".to_string())
+        .map_err(|_| "the key of a work has 32 hexadecimal digits".to_string())
 }
 
-/// Lists or lifts.
+/// Lists the holds or lifts one; fails with [`Error::Unavailable`] if the store can't be reached.
 pub fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let (verb, matches) = matches
+    let (subcommand, matches) = matches
         .subcommand()
         .expect("BUG: the parser requires a subcommand");
-    let mut values = Values::new(matches);
+    let mut values = SettingValues::new(matches);
     let store = values.address(STORE);
     values.finish()?;
-    match verb {
+    match subcommand {
         "list" => list(store, out),
         _ => {
             let work: &WorkKey = matches.get_one(WORK).expect("BUG: the parser requires it");
@@ -83,35 +90,35 @@
 
 fn list(store: SocketAddr, out: &mut dyn Write) -> Result<(), Error> {
     let holds = LocalSet::new().block_on(&runtime()?, list_holds(store));
-    let holds = holds.map_err(failed)?;
+    let holds = holds.map_err(hold_error)?;
     writeln!(out, "{:<32}  crashes  last, s ago  tried again", "work")?;
-    for told in &holds {
-        let tried = if told.was_tried { "yes" } else { "no" };
+    for hold in &holds {
+        let was_tried = if hold.was_tried { "yes" } else { "no" };
         writeln!(
             out,
-            "{}  {:>7}  {:>11}  {tried}",
-            told.key,
-            told.crashes.len(),
-            last_s(told)
+            "{}  {:>7}  {:>11}  {was_tried}",
+            hold.key,
+            hold.crashes.len(),
+            seconds_since_last_crash(hold)
         )?;
     }
     Ok(())
 }
 
 /// Time since the last crash, in seconds.
-fn last_s(told: &Told) -> u32 {
-    let ages_ms = told.crashes.iter().map(|crash| crash.age_ms);
+fn seconds_since_last_crash(hold: &Told) -> u32 {
+    let ages_ms = hold.crashes.iter().map(|crash| crash.age_ms);
     ages_ms.min().unwrap_or(0) / 1_000
 }
 
 fn lift(store: SocketAddr, work: WorkKey, out: &mut dyn Write) -> Result<(), Error> {
     let lifted = LocalSet::new().block_on(&runtime()?, lift_hold(store, work));
-    lifted.map_err(failed)?;
-    writeln!(out, "{work} is let go")?;
+    lifted.map_err(hold_error)?;
+    writeln!(out, "the hold on {work} is lifted")?;
     Ok(())
 }
 
-fn failed(error: HoldError) -> Error {
+fn hold_error(error: HoldError) -> Error {
     match error {
         HoldError::Store(_) => Error::Unavailable(error.to_string()),
         HoldError::Unknown => Error::Failed(error.to_string()),
--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -1,4 +1,5 @@
-//! `marigoldstage relay`: the event-driven gateway on the entry hosts of the users' platform.
+//! `marigoldstage relay`: the event-driven gateway that runs on the entry hosts of the users'
+//! platform.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -28,8 +29,8 @@
 use tokio::signal::unix::SignalKind;
 
 use crate::error::Error;
-use crate::setting::value;
-use crate::setting::Values;
+use crate::setting::value_argument;
+use crate::setting::SettingValues;
 
 const SETTINGS: &str = "settings";
 const LOG_LEVEL: &str = "log-level";
@@ -37,18 +38,18 @@
 const PLACING: &str = "placing";
 const TURNS: &str = "turns";
 
-const FIGURES: &str = "NAME=VALUE,...";
+const PARAMETERS_PLACEHOLDER: &str = "NAME=VALUE,...";
 
 const EXAMPLES: &str = "\
 Examples:
-  # on the platform, which names the settings file in a variable
+  # on the platform, which gives the path of the settings file in a variable
   marigoldstage relay
 
-  # with a file of one's own
+  # with a given settings file
   marigoldstage relay --settings /etc/marigoldstage/settings.toml --log-level debug
 
-SIGTERM: not ready any more, what is open ends, then exit 0.
-SIGHUP or a changed file: the settings are read again; faulty ones are logged and not taken.";
+SIGTERM: the relay reports itself as not ready, finishes open requests, then exits with 0.
+SIGHUP or a changed file: the settings are reloaded; invalid ones are logged and not applied.";
 
 /// Declares the subcommand.
 pub fn command() -> Command {
@@ -56,50 +57,50 @@
         .about("Run the gateway of an entry host on the users' platform")
         .after_help(EXAMPLES)
         .arg(
-            value(SETTINGS, "PATH", "The platform's settings file").long_help(format!(
-                "The platform's settings file; the platform names it in {SETTINGS_VARIABLE}"
+            value_argument(SETTINGS, "PATH", "The platform's settings file").long_help(format!(
+                "The platform's settings file; the platform gives its path in {SETTINGS_VARIABLE}"
             )),
         )
         .arg(
-            value(
+            value_argument(
                 LOG_LEVEL,
                 "LEVEL",
-                "Least level that is logged, or a filter by module",
+                "Minimum level that is logged, or a filter by module",
             )
             .default_value("info"),
         )
         .arg(
-            value(
+            value_argument(
                 METRICS_PORT,
                 "PORT",
-                "Where metrics are served, on this host's own IP number",
+                "Port on which metrics are served, on this host's own IP address",
             )
             .default_value("9464"),
         )
         .arg(
-            value(
+            value_argument(
                 PLACING,
-                FIGURES,
-                "Figures of placing that differ, such as open_units=2",
+                PARAMETERS_PLACEHOLDER,
+                "Parameters of placing that differ from their defaults, such as open_units=2",
             )
             .default_value(""),
         )
         .arg(
-            value(
+            value_argument(
                 TURNS,
-                FIGURES,
-                "Figures of the order among long prompts that differ",
+                PARAMETERS_PLACEHOLDER,
+                "Parameters of the queueing order of long prompts that differ from their defaults",
             )
             .default_value(""),
         )
 }
 
-/// What the operators' server says of a relay.
-struct State {
+/// Health of a relay, as its admin server reports it.
+struct Readiness {
     published: Arc<Published>,
 }
 
-impl Health for State {
+impl Health for Readiness {
     fn healthy(&self) -> bool {
         true
     }
@@ -112,41 +113,46 @@
     }
 }
 
-/// Runs until a signal.
+/// Runs the relay until SIGTERM; fails if its settings are invalid or it can't start.
 pub fn run(matches: &ArgMatches, _out: &mut dyn Write) -> Result<(), Error> {
-    let mut values = Values::new(matches);
+    let mut values = SettingValues::new(matches);
     let path = settings_path(&mut values);
-    let level = values.text(LOG_LEVEL);
+    let level = values.required_text(LOG_LEVEL);
     if logs::check(&level).is_err() {
-        values.fault(LOG_LEVEL, "give a level or a filter by module");
+        values.reject(LOG_LEVEL, "give a level or a filter by module");
     }
     let metrics_port = values.number(METRICS_PORT, 1..=u16::MAX);
-    let placing = figures(&mut values, PLACING, options::Options::with);
-    let turns = figures(&mut values, TURNS, turn::Options::with);
+    let placing = parameter_overrides(&mut values, PLACING, options::Options::with);
+    let turns = parameter_overrides(&mut values, TURNS, turn::Options::with);
     values.finish()?;
     let failed = |error: String| Error::Failed(error);
     let settings = Settings::read(&path).map_err(|error| failed(error.to_string()))?;
     let _logs =
         logs::start_bounded(&logs::Options { level }).map_err(|error| failed(error.to_string()))?;
-    serve(path, settings, Figures { placing, turns }, metrics_port)
+    serve(
+        path,
+        settings,
+        ParameterOverrides { placing, turns },
+        metrics_port,
+    )
 }
 
-/// Figures of decisions that differ from their defaults.
-struct Figures {
+/// Parameters of placing and of the queueing order that the command line overrides.
+struct ParameterOverrides {
     placing: options::Options,
     turns: turn::Options,
 }
 
-fn figures<O: Default>(
-    values: &mut Values<'_>,
+fn parameter_overrides<O: Default>(
+    values: &mut SettingValues<'_>,
     flag: &str,
     with: fn(O, &str) -> Result<O, String>,
 ) -> O {
-    let given = values.optional(flag).unwrap_or_default();
+    let given = values.optional_text(flag).unwrap_or_default();
     match with(O::default(), &given) {
-        Ok(figures) => figures,
+        Ok(options) => options,
         Err(advice) => {
-            values.fault(flag, advice);
+            values.reject(flag, advice);
             O::default()
         }
     }
@@ -155,60 +161,65 @@
 fn serve(
     path: PathBuf,
     settings: Settings,
-    figures: Figures,
+    overrides: ParameterOverrides,
     metrics_port: u16,
 ) -> Result<(), Error> {
     let failed = |error: String| Error::Failed(error);
-    let mut plan = options(&settings);
-    plan.relay.placing = figures.placing;
-    plan.relay.turns = figures.turns;
+    let mut startup_options = options(&settings);
+    startup_options.relay.placing = overrides.placing;
+    startup_options.relay.turns = overrides.turns;
     let published = Arc::new(Published::new());
     log::info!(host = settings.host_name, zone = settings.zone, store:% = settings.store; "started");
     let registry = Registry::new();
     let metrics = Metrics::new(&registry);
-    let state = Arc::new(State {
+    let state = Arc::new(Readiness {
         published: published.clone(),
     });
     let admin_options = admin::Options {
-        listen: SocketAddr::new(plan.ip, metrics_port).to_string(),
+        listen: SocketAddr::new(startup_options.ip, metrics_port).to_string(),
     };
-    // Requests are served without the operators' server too.
+    // The relay serves requests even if its admin server can't start.
     let _admin = match admin::serve(admin_options, registry, state) {
         Ok(admin) => Some(admin),
         Err(error) => {
-            log::error!(error:% = error; "no metrics are served");
+            log::error!(error:% = error; "can't start the admin server; no metrics are served");
             None
         }
     };
-    let store = StoreAddress::new(plan.store);
+    let store = StoreAddress::new(startup_options.store);
     let factory = StoreFactory {
         address: store.clone(),
     };
-    published.put_live(plan.live);
-    let tallies = follow::Tallies {
+    published.put_live(startup_options.live);
+    let counters = follow::Tallies {
         bad_rows: metrics.bad_rows.clone(),
         store_calls: metrics.store_calls.clone(),
         store_rollbacks: metrics.store_rollbacks.clone(),
     };
-    follow::start(plan.follow, Box::new(factory), published.clone(), tallies)
-        .map_err(|error| failed(error.to_string()))?;
-    let started = |addresses: relay::Addresses| {
+    follow::start(
+        startup_options.follow,
+        Box::new(factory),
+        published.clone(),
+        counters,
+    )
+    .map_err(|error| failed(error.to_string()))?;
+    let on_listening = |addresses: relay::Addresses| {
         log::info!(clients:% = addresses.client, peers:% = addresses.peer; "listening");
     };
     let dialect = Box::new(PlatformDialect);
-    let reload = Reload {
+    let reloader = SettingsReloader {
         path,
         settings,
         published: published.clone(),
         store,
     };
     relay::run(
-        plan.relay,
+        startup_options.relay,
         dialect,
         published,
         metrics,
-        started,
-        stopped(reload),
+        on_listening,
+        wait_for_termination(reloader),
     )
     .map_err(|error| failed(error.to_string()))?;
     log::info!("stopped");
@@ -216,19 +227,19 @@
     Ok(())
 }
 
-fn settings_path(values: &mut Values<'_>) -> PathBuf {
-    let given = values.optional(SETTINGS);
+fn settings_path(values: &mut SettingValues<'_>) -> PathBuf {
+    let given = values.optional_text(SETTINGS);
     let path = given.or_else(|| std::env::var(SETTINGS_VARIABLE).ok());
     let Some(path) = path else {
         let advice = format!("give a path, or set {SETTINGS_VARIABLE}");
-        values.fault(SETTINGS, advice);
+        values.reject(SETTINGS, advice);
         return PathBuf::new();
     };
     PathBuf::from(path)
 }
 
-/// Waits for the signal to stop; takes changed settings meanwhile.
-async fn stopped(mut reload: Reload) {
+/// Waits for SIGTERM; meanwhile reloads the settings after a SIGHUP or if the file has changed.
+async fn wait_for_termination(mut reloader: SettingsReloader) {
     let signals = signal(SignalKind::terminate()).and_then(|terminate| {
         let hangup = signal(SignalKind::hangup())?;
         Ok((terminate, hangup))
@@ -236,32 +247,32 @@
     let (mut terminate, mut hangup) = match signals {
         Ok(signals) => signals,
         Err(error) => {
-            log::error!(error:% = error; "no signals; only a kill ends this process");
+            log::error!(error:% = error; "can't install signal handlers; only SIGKILL ends this process");
             return std::future::pending::<()>().await;
         }
     };
     loop {
         tokio::select! {
             _ = terminate.recv() => return,
-            _ = hangup.recv() => reload.read("signal"),
-            () = tokio::time::sleep(SETTINGS_LOOK) => reload.read("look"),
+            _ = hangup.recv() => reloader.reload("signal"),
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => reloader.reload("poll"),
         }
     }
 }
 
-/// Time between two looks at the settings file, which may change without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
+/// Interval between checks of the settings file, which may change without a SIGHUP.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Takes changed settings while the relay runs.
-struct Reload {
+/// Applies changed settings to a running relay.
+struct SettingsReloader {
     path: PathBuf,
     settings: Settings,
     published: Arc<Published>,
     store: StoreAddress,
 }
 
-impl Reload {
-    fn read(&mut self, cause: &str) {
+impl SettingsReloader {
+    fn reload(&mut self, cause: &str) {
         let settings = match Settings::read(&self.path) {
             Ok(settings) => settings,
             Err(error) => {
@@ -277,11 +288,11 @@
             return;
         }
         if settings.needs_restart(&self.settings) {
-            log::warn!("other addresses to listen on need a restart; the rest is taken");
+            log::warn!("changed listen addresses take effect only after a restart; all other settings are applied");
         }
-        let plan = options(&settings);
-        self.published.put_live(plan.live);
-        self.store.set(plan.store);
+        let reloaded_options = options(&settings);
+        self.published.put_live(reloaded_options.live);
+        self.store.set(reloaded_options.store);
         self.settings = settings;
     }
 }
--- a/src/command/request.rs
+++ b/src/command/request.rs
@@ -1,5 +1,5 @@
-//! `marigoldstage request`: durable requests, the ones that callers sent with
-//! `Prefer: respond-async`.
+//! `marigoldstage request`: lists, shows and cancels durable requests, which are those that callers
+//! sent with `Prefer: respond-async`.
 
 use std::io::Write;
 
@@ -41,20 +41,20 @@
 
 const EXAMPLES: &str = "\
 Examples:
-  marigoldstage request list                             durable requests and where they stand
+  marigoldstage request list                             durable requests and their states
   marigoldstage request list --organisation org-1 --state queued
   marigoldstage request show 0f8f…                       one request: holder, endpoint, deadline
   marigoldstage request show 0f8f… --body > answer.json  the answer of one that has ended
-  marigoldstage request cancel 0f8f…                     end it, unrun if it still can be
+  marigoldstage request cancel 0f8f…                     cancel it, before it runs if possible
 
 States: submitting (its caller has no 202 yet), queued (any gateway may take it), held (a gateway
-has it), running (an endpoint has it), then answered, refused (not run), failed (ran or
-partly ran) or unknown (may have run). Times are seconds of the clock that gateways share.";
+has taken it), running (dispatched to an endpoint), then answered, refused (not run), failed (ran
+or partly ran) or unknown (may have run). Times are seconds of the clock that gateways share.";
 
 /// Declares the subcommand.
 pub fn command() -> Command {
     Command::new("request")
-        .about("Show and cancel asynchronous requests")
+        .about("List, show and cancel durable requests, sent with `Prefer: respond-async`")
         .after_help(format!("{EXAMPLES}\n\n{EXIT_CODES}"))
         .subcommand_required(true)
         .arg_required_else_help(true)
@@ -64,14 +64,14 @@
 fn list_command() -> Command {
     Command::new("list")
         .about("List durable requests")
-        .arg(option(
+        .arg(option_argument(
             ORGANISATION,
             "NAME",
-            "Only those of this organisation",
+            "Only requests of this organisation",
         ))
-        .arg(option(STATE, "STATE", "Only those in this state").value_parser(STATES))
+        .arg(option_argument(STATE, "STATE", "Only requests in this state").value_parser(STATES))
         .arg(
-            option(LIMIT, "COUNT", "Print this many at most")
+            option_argument(LIMIT, "COUNT", "Maximum number of requests to print")
                 .value_parser(clap::value_parser!(u64).range(1..))
                 .default_value(LIMIT_DEFAULT),
         )
@@ -85,7 +85,7 @@
         .arg(
             Arg::new(BODY)
                 .long(BODY)
-                .help("Print the answer's body and nothing else")
+                .help("Print only the answer's body")
                 .action(ArgAction::SetTrue),
         )
         .args(operator::arguments())
@@ -98,18 +98,19 @@
         .args(operator::arguments())
 }
 
-fn option(name: &'static str, placeholder: &'static str, help: &'static str) -> Arg {
+fn option_argument(name: &'static str, placeholder: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).value_name(placeholder).help(help)
 }
 
 fn id_argument() -> Arg {
     Arg::new(ID)
         .value_name("ID")
-        .help("Identifier, as the 202 and `request list` give it")
+        .help("Identifier, as in the 202 response and in `request list`")
         .required(true)
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand given in `matches`; fails if the request isn't known or the platform can't
+/// be reached.
 pub fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     match matches.subcommand() {
         Some(("list", matches)) => list(matches, out),
@@ -119,9 +120,9 @@
     }
 }
 
-/// A request as machines read it.
+/// A request as `--json` prints it.
 #[derive(Debug, Serialize)]
-struct Line {
+struct RequestRecord {
     id: String,
     organisation: String,
     kind: String,
@@ -137,7 +138,7 @@
     expires_ms: u64,
 }
 
-impl From<&Status> for Line {
+impl From<&Status> for RequestRecord {
     fn from(status: &Status) -> Self {
         let entry = &status.entry;
         let endpoint = match &entry.state {
@@ -166,7 +167,7 @@
     }
 }
 
-const HEADER: [&str; 7] = [
+const LIST_HEADER: [&str; 7] = [
     "id",
     "organisation",
     "kind",
@@ -178,8 +179,8 @@
 
 const MS_PER_S: u64 = 1_000;
 
-impl Line {
-    fn cells(&self) -> Vec<String> {
+impl RequestRecord {
+    fn list_cells(&self) -> Vec<String> {
         vec![
             self.id.clone(),
             self.organisation.clone(),
@@ -195,38 +196,42 @@
 fn list(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     let session = Session::open(matches)?;
     let limit = matches.get_one::<u64>(LIMIT).copied().unwrap_or(u64::MAX);
-    let mut lines: Vec<Line> = Vec::new();
+    let mut records: Vec<RequestRecord> = Vec::new();
     let mut after = Some(String::new());
     while let Some(from) = after {
         let page = request::list(session.store().table, &from)?;
-        let wanted = page.requests.iter().filter(|status| fits(matches, status));
-        lines.extend(wanted.map(Line::from));
-        after = page.next.filter(|_| (lines.len() as u64) < limit);
+        let wanted = page
+            .requests
+            .iter()
+            .filter(|status| matches_filters(matches, status));
+        records.extend(wanted.map(RequestRecord::from));
+        after = page.next.filter(|_| (records.len() as u64) < limit);
     }
-    lines.truncate(usize::try_from(limit).unwrap_or(usize::MAX));
+    records.truncate(usize::try_from(limit).unwrap_or(usize::MAX));
     if matches.get_flag(operator::JSON) {
-        return print::json(&lines, out);
+        return print::json(&records, out);
     }
-    let mut table = vec![HEADER.map(String::from).to_vec()];
-    table.extend(lines.iter().map(Line::cells));
-    print::aligned(&table, out)?;
-    writeln!(out, "{} requests", lines.len())?;
+    let mut table = vec![LIST_HEADER.map(String::from).to_vec()];
+    table.extend(records.iter().map(RequestRecord::list_cells));
+    print::aligned_columns(&table, out)?;
+    writeln!(out, "{} requests", records.len())?;
     Ok(())
 }
 
-fn fits(matches: &ArgMatches, status: &Status) -> bool {
+fn matches_filters(matches: &ArgMatches, status: &Status) -> bool {
     let given = |name: &str| matches.get_one::<String>(name);
     let organisation = given(ORGANISATION).is_none_or(|name| *name == status.entry.organisation);
     let state = given(STATE).is_none_or(|state| state == status.state());
     organisation && state
 }
 
-fn id(matches: &ArgMatches) -> Result<&str, Error> {
+fn checked_id(matches: &ArgMatches) -> Result<&str, Error> {
     let id = matches.get_one::<String>(ID).map_or("", String::as_str);
     if is_id(id) {
         return Ok(id);
     }
-    let text = format!("`{id}` is no identifier: 32 hexadecimal digits, see `request list`");
+    let text =
+        format!("`{id}` is not an identifier: give 32 hexadecimal digits, see `request list`");
     Err(Error::Usage(text))
 }
 
@@ -237,7 +242,7 @@
 }
 
 fn show(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let id = id(matches)?;
+    let id = checked_id(matches)?;
     let session = Session::open(matches)?;
     let store = session.store();
     let status = request::status(store.table, id)?.ok_or_else(|| not_found(id))?;
@@ -247,36 +252,37 @@
             return Err(Error::Failed(text));
         };
         let body = request::answer_body(store.objects, done)?;
-        let body = body.ok_or_else(|| Error::Failed(format!("the answer of {id} is gone")))?;
+        let body =
+            body.ok_or_else(|| Error::Failed(format!("the answer of {id} is no longer stored")))?;
         out.write_all(&body)?;
         return Ok(());
     }
-    let line = Line::from(&status);
+    let record = RequestRecord::from(&status);
     if matches.get_flag(operator::JSON) {
-        return print::json(&line, out);
+        return print::json(&record, out);
     }
-    let value = serde_json::to_value(&line).map_err(|error| Error::Failed(error.to_string()))?;
+    let value = serde_json::to_value(&record).map_err(|error| Error::Failed(error.to_string()))?;
     let fields = value.as_object().into_iter().flatten();
     let rows: Vec<Vec<String>> = fields
-        .map(|(name, value)| vec![name.clone(), plain(value)])
+        .map(|(name, value)| vec![name.clone(), json_as_text(value)])
         .collect();
-    print::aligned(&rows, out)
+    print::aligned_columns(&rows, out)
 }
 
-fn plain(value: &serde_json::Value) -> String {
+fn json_as_text(value: &serde_json::Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), String::from)
 }
 
 fn cancel(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let id = id(matches)?;
+    let id = checked_id(matches)?;
     let session = Session::open(matches)?;
     let text = match request::cancel(session.store().table, id)? {
         Cancelled::NotFound => return Err(not_found(id)),
         Cancelled::NotRun => "cancelled: it was not run",
-        Cancelled::Wanted => "its gateway will end it; see `request show`",
-        Cancelled::Ended => "it had ended before; nothing was changed",
+        Cancelled::Wanted => "cancellation requested; its gateway will end it; see `request show`",
+        Cancelled::Ended => "it had already ended; nothing was changed",
     };
     writeln!(out, "{text}")?;
     Ok(())
--- a/src/command/sidecar/mod.rs
+++ b/src/command/sidecar/mod.rs
@@ -1,6 +1,6 @@
-//! `marigoldstage sidecar`: the process beside one endpoint.
+//! `marigoldstage sidecar`: runs the process beside one endpoint, through which all its calls go.
 
-mod numbers;
+mod number_settings;
 
 use std::io::Write;
 use std::sync::Arc;
@@ -12,13 +12,13 @@
 use mgs_sidecar::sidecar;
 use mgs_sidecar::sidecar::Sidecar;
 
-use super::process;
+use super::common;
 use crate::error::Error;
 use crate::setting::number;
-use crate::setting::value;
-use crate::setting::Values;
-use crate::stop::Stop;
-use numbers::NUMBERS;
+use crate::setting::value_argument;
+use crate::setting::SettingValues;
+use crate::shutdown::ShutdownSignals;
+use number_settings::NUMBER_SETTINGS;
 
 const NAME: &str = "name";
 const ZONE: &str = "zone";
@@ -32,103 +32,111 @@
   marigoldstage sidecar --name engine-7 --zone north-1 --listen 10.0.1.7:7300 \\
       --endpoint-kind engine --endpoint-url http://127.0.0.1:7500 --platform http://10.0.0.2:7400
 
-  # beside a plain service, by environment
+  # beside a plain service, configured by environment variables
   MARIGOLDSTAGE_NAME=stock-1 MARIGOLDSTAGE_ENDPOINT_KIND=service marigoldstage sidecar
 
 The name and the address must be those of the endpoint's row: `marigoldstage endpoint --help`.
-SIGTERM or SIGINT: no new work, what runs is finished within --drain-ms, then exit 0.
-A second signal, or the end of that time, cuts the rest off: exit 1.";
+SIGTERM or SIGINT: new requests are refused, running ones are finished within --drain-ms, then exit 0.
+A second signal, or the end of that time, aborts the remaining ones: exit 1.";
 
 /// Declares the subcommand.
 pub fn command() -> Command {
     Command::new("sidecar")
-        .about("Run the process beside one endpoint, which makes every call of it")
+        .about("Run the process beside one endpoint, which makes every call to it")
         .after_help(EXAMPLES)
-        .args(arguments())
-        .next_help_heading(process::PLATFORM_HEADING)
-        .args(process::platform_arguments())
-        .next_help_heading(process::OPERATORS_HEADING)
-        .args(process::arguments("127.0.0.1:7301", "600000"))
-        .next_help_heading(process::TUNING_HEADING)
-        .args(number::arguments(&NUMBERS))
-        .args(process::plant_arguments())
+        .args(endpoint_arguments())
+        .next_help_heading(common::PLATFORM_HEADING)
+        .args(common::platform_arguments())
+        .next_help_heading(common::OPERATORS_HEADING)
+        .args(common::role_arguments("127.0.0.1:7301", "600000"))
+        .next_help_heading(common::TUNING_HEADING)
+        .args(number::arguments(&NUMBER_SETTINGS))
+        .args(common::bug_injection_arguments())
 }
 
-fn arguments() -> Vec<clap::Arg> {
+fn endpoint_arguments() -> Vec<clap::Arg> {
     vec![
-        value(
+        value_argument(
             NAME,
             "NAME",
             "Name of the endpoint, as in its row; must be given",
         ),
-        value(ZONE, "ZONE", "Availability zone of this host").default_value("zone-1"),
-        value(LISTEN, "IP:PORT", "Where gateways reach this process")
-            .default_value("127.0.0.1:7300"),
-        value(
+        value_argument(ZONE, "ZONE", "Availability zone of this host").default_value("zone-1"),
+        value_argument(
+            LISTEN,
+            "IP:PORT",
+            "Address on which gateways reach this process",
+        )
+        .default_value("127.0.0.1:7300"),
+        value_argument(
             ENDPOINT_KIND,
             "KIND",
-            "What stands behind: engine or service",
+            "Kind of the endpoint: engine or service",
         )
         .default_value("engine"),
-        value(ENDPOINT_URL, "URL", "Base address of the endpoint itself")
+        value_argument(ENDPOINT_URL, "URL", "Base address of the endpoint itself")
             .default_value("http://127.0.0.1:7500"),
     ]
 }
 
-/// Runs until a signal.
+/// Runs the sidecar until a signal, or until another process takes over its name, and drains it.
+/// Fails if it can't start, if requests were aborted or if its name was taken over.
 pub fn run(matches: &ArgMatches, _out: &mut dyn Write) -> Result<(), Error> {
-    let mut values = Values::new(matches);
-    let process = process::options(&mut values);
-    let platform = process::platform_options(&mut values);
+    let mut values = SettingValues::new(matches);
+    let role = common::role_options(&mut values);
+    let platform = common::platform_options(&mut values);
     let mut options = sidecar::Options {
-        name: values.text(NAME),
-        zone: values.text(ZONE),
-        kind: kind(&mut values),
-        listen: values.told_address(LISTEN),
-        admin_listen: Some(process.admin),
+        name: values.required_text(NAME),
+        zone: values.required_text(ZONE),
+        kind: endpoint_kind(&mut values),
+        listen: values.advertised_address(LISTEN),
+        admin_listen: Some(role.admin_listen),
         endpoint_url: values.url(ENDPOINT_URL),
         platform_url: Some(platform.base_url),
         ..sidecar::Options::default()
     };
-    number::read(&NUMBERS, &mut values, &mut options);
-    options.ledger.plant = plant(&mut values);
+    number::read(&NUMBER_SETTINGS, &mut values, &mut options);
+    options.ledger.plant = injected_bug(&mut values);
     values.finish()?;
 
-    let mut stop = Stop::new()?;
-    let _logs = process::start_log(&process.logs)?;
+    let mut signals = ShutdownSignals::new()?;
+    let _logs = common::start_log(&role.logs)?;
     let sidecar = Sidecar::start(options).map_err(|error| Error::Failed(error.to_string()))?;
     let sidecar = Arc::new(sidecar);
     log::info!(
         address:% = sidecar.address(),
-        admin_address:% = process::shown(sidecar.admin_address()),
+        admin_address:% = common::address_or_none(sidecar.admin_address()),
         incarnation = sidecar.incarnation();
         "sidecar started"
     );
-    stop.wait_unless(|| sidecar.is_superseded());
+    signals.wait_or_until(|| sidecar.is_superseded());
     let superseded = sidecar.is_superseded();
-    log::info!(drain_ms = process.drain_ms; "sidecar is leaving");
-    stop.drain(process.drain_ms, move || sidecar.drain())?;
-    process::check_name(superseded)
+    log::info!(drain_ms = role.drain_ms; "sidecar is draining");
+    signals.drain(role.drain_ms, move || sidecar.drain())?;
+    common::fail_if_superseded(superseded)
 }
 
-fn kind(values: &mut Values<'_>) -> EndpointKind {
-    match values.text(ENDPOINT_KIND).as_str() {
+fn endpoint_kind(values: &mut SettingValues<'_>) -> EndpointKind {
+    match values.required_text(ENDPOINT_KIND).as_str() {
         "engine" => EndpointKind::Engine,
         "service" => EndpointKind::Service,
         _ => {
-            values.fault(ENDPOINT_KIND, "give engine or service");
+            values.reject(ENDPOINT_KIND, "give engine or service");
             EndpointKind::Unspecified
         }
     }
 }
 
-fn plant(values: &mut Values<'_>) -> Plant {
-    let name = process::plant_name(values);
+fn injected_bug(values: &mut SettingValues<'_>) -> Plant {
+    let name = common::injected_bug_name(values);
     if name.is_empty() {
         return Plant::None;
     }
     name.parse().unwrap_or_else(|_| {
-        values.fault(process::PLANT, "no such deliberate bug in a sidecar");
+        values.reject(
+            common::PLANT,
+            "a sidecar has no deliberate bug of this name",
+        );
         Plant::None
     })
 }
--- a/src/command/standin.rs
+++ b/src/command/standin.rs
@@ -1,4 +1,5 @@
-//! `marigoldstage standin`: an engine, a plain service or the platform, in memory, for trials.
+//! `marigoldstage standin`: runs an in-memory substitute for an engine, a plain service or the
+//! platform, for trials.
 
 use std::io::Write;
 
@@ -13,12 +14,12 @@
 use mgs_standin::service;
 use mgs_standin::service::Service;
 
-use super::process;
+use super::common;
 use crate::error::Error;
-use crate::setting::switch;
-use crate::setting::value;
-use crate::setting::Values;
-use crate::stop::Stop;
+use crate::setting::switch_argument;
+use crate::setting::value_argument;
+use crate::setting::SettingValues;
+use crate::shutdown::ShutdownSignals;
 
 const LISTEN: &str = "listen";
 const DELAY_MS: &str = "delay-ms";
@@ -39,7 +40,7 @@
   marigoldstage standin engine --listen 127.0.0.1:7500 --kv-capacity-tokens 2000000
   marigoldstage standin service --listen 127.0.0.1:7600 --delay-ms 20
 
-A stand-in keeps nothing: what it holds ends with the process. It is no part of a deployment.
+A stand-in keeps its state in memory only and loses it when it exits. It isn't meant for deployments.
 Its first line on standard output is its base address.";
 
 /// Declares the subcommand.
@@ -54,7 +55,7 @@
         .subcommand(platform_command())
 }
 
-/// Runs until a signal.
+/// Runs the stand-in until a signal; fails if it can't listen on its address.
 pub fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     match matches.subcommand() {
         Some(("engine", matches)) => run_engine(matches, out),
@@ -65,34 +66,57 @@
 }
 
 fn listen_argument(default: &'static str) -> Arg {
-    value(
+    value_argument(
         LISTEN,
         "IP:PORT",
-        "Where to listen; port 0 takes a free one",
+        "Address to listen on; port 0 picks a free one",
     )
     .default_value(default)
 }
 
 fn engine_command() -> Command {
     Command::new("engine")
-        .about("A model engine with a stated cost model; it answers words without sense")
+        .about("A model engine with a fixed cost model; its answers are meaningless words")
         .arg(listen_argument("127.0.0.1:7500"))
-        .arg(value(MODELS, "NAMES", "Models served, by commas").default_value("model-a"))
-        .arg(value(KV_CAPACITY, "N", "Memory in all, in tokens").default_value("400000"))
-        .arg(value(PREFILL_RATE, "N", "Prompt tokens processed in a second").default_value("20000"))
-        .arg(value(DECODE_STEP_MS, "MS", "Time of a decode step for any batch").default_value("12"))
-        .arg(value(TIME_SCALE, "X", "How much faster than this it runs").default_value("1"))
-        .arg(switch(
+        .arg(
+            value_argument(MODELS, "NAMES", "Models served, separated by commas")
+                .default_value("model-a"),
+        )
+        .arg(
+            value_argument(KV_CAPACITY, "N", "Total KV cache memory, in tokens")
+                .default_value("400000"),
+        )
+        .arg(
+            value_argument(PREFILL_RATE, "N", "Prompt tokens processed per second")
+                .default_value("20000"),
+        )
+        .arg(
+            value_argument(
+                DECODE_STEP_MS,
+                "MS",
+                "Duration of a decode step, for any batch size",
+            )
+            .default_value("12"),
+        )
+        .arg(
+            value_argument(
+                TIME_SCALE,
+                "X",
+                "Factor by which it runs faster than these times",
+            )
+            .default_value("1"),
+        )
+        .arg(switch_argument(
             IGNORE_FENCING,
-            "Obey orders whatever their fencing number",
+            "Accept orders with any fencing number",
         ))
-        .arg(process::log_argument())
+        .arg(common::log_argument())
 }
 
 fn run_engine(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let mut values = Values::new(matches);
-    let logs = process::log_options(&mut values);
-    let models = values.text(MODELS);
+    let mut values = SettingValues::new(matches);
+    let logs = common::log_options(&mut values);
+    let models = values.required_text(MODELS);
     let options = engine::Options {
         listen: values.address(LISTEN).to_string(),
         models: models
@@ -103,42 +127,41 @@
         prefill_tokens_per_s: values.number(PREFILL_RATE, 1.0..=1e9),
         decode_step_ms: values.number(DECODE_STEP_MS, 0.0..=60_000.0),
         time_scale: values.number(TIME_SCALE, 0.01..=1_000.0),
-        check_fencing: !values.switch(IGNORE_FENCING),
+        check_fencing: !values.is_set(IGNORE_FENCING),
         ..engine::Options::default()
     };
     values.finish()?;
 
-    let mut stop = Stop::new()?;
-    let _logs = process::start_log(&logs)?;
-    let engine = Engine::start(options.clone()).map_err(|e| not_listening(&options.listen, &e))?;
-    announce(out, &engine.url())?;
-    stop.wait();
+    let mut signals = ShutdownSignals::new()?;
+    let _logs = common::start_log(&logs)?;
+    let engine = Engine::start(options.clone()).map_err(|e| bind_error(&options.listen, &e))?;
+    print_url(out, &engine.url())?;
+    signals.wait();
     Ok(())
 }
 
 fn service_command() -> Command {
     Command::new("service")
-        .about("A plain service that answers each call with how often it has run it")
+        .about("A plain service that answers each call with the number of times it has run it")
         .arg(listen_argument("127.0.0.1:7600"))
-        .arg(value(DELAY_MS, "MS", "Time that a call takes").default_value("0"))
-        .arg(process::log_argument())
+        .arg(value_argument(DELAY_MS, "MS", "Duration of a call").default_value("0"))
+        .arg(common::log_argument())
 }
 
 fn run_service(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let mut values = Values::new(matches);
-    let logs = process::log_options(&mut values);
+    let mut values = SettingValues::new(matches);
+    let logs = common::log_options(&mut values);
     let options = service::Options {
         listen: values.address(LISTEN).to_string(),
         delay_ms: values.number(DELAY_MS, 0..=DELAY_MS_MAX),
     };
     values.finish()?;
 
-    let mut stop = Stop::new()?;
-    let _logs = process::start_log(&logs)?;
-    let service =
-        Service::start(options.clone()).map_err(|e| not_listening(&options.listen, &e))?;
-    announce(out, &service.url())?;
-    stop.wait();
+    let mut signals = ShutdownSignals::new()?;
+    let _logs = common::start_log(&logs)?;
+    let service = Service::start(options.clone()).map_err(|e| bind_error(&options.listen, &e))?;
+    print_url(out, &service.url())?;
+    signals.wait();
     Ok(())
 }
 
@@ -147,26 +170,29 @@
         .about("The platform's table service, object store, weight store and list of hosts")
         .arg(listen_argument("127.0.0.1:7400"))
         .arg(
-            value(
+            value_argument(
                 HOSTS_LAG_MS,
                 "MS",
-                "How long a change of the hosts stays unseen",
+                "Delay before a change in the list of hosts becomes visible",
             )
             .default_value("0"),
         )
-        .arg(value(DELAY_MS, "MS", "Wait before a call takes effect").default_value("0"))
-        .arg(switch(OUTAGE, "Start in an outage; POST /faults ends it"))
-        .arg(process::log_argument())
+        .arg(value_argument(DELAY_MS, "MS", "Delay before a call takes effect").default_value("0"))
+        .arg(switch_argument(
+            OUTAGE,
+            "Start in an outage; POST /faults ends it",
+        ))
+        .arg(common::log_argument())
 }
 
 fn run_platform(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let mut values = Values::new(matches);
-    let logs = process::log_options(&mut values);
+    let mut values = SettingValues::new(matches);
+    let logs = common::log_options(&mut values);
     let options = platform::Options {
         listen: values.address(LISTEN).to_string(),
         hosts_lag_ms: values.number(HOSTS_LAG_MS, 0..=DELAY_MS_MAX),
         faults: faults::Settings {
-            outage: values.switch(OUTAGE),
+            outage: values.is_set(OUTAGE),
             delay_ms: values.number(DELAY_MS, 0..=DELAY_MS_MAX),
             ..faults::Settings::default()
         },
@@ -174,22 +200,21 @@
     };
     values.finish()?;
 
-    let mut stop = Stop::new()?;
-    let _logs = process::start_log(&logs)?;
-    let platform =
-        Platform::start(options.clone()).map_err(|e| not_listening(&options.listen, &e))?;
-    announce(out, &platform.url())?;
-    stop.wait();
+    let mut signals = ShutdownSignals::new()?;
+    let _logs = common::start_log(&logs)?;
+    let platform = Platform::start(options.clone()).map_err(|e| bind_error(&options.listen, &e))?;
+    print_url(out, &platform.url())?;
+    signals.wait();
     Ok(())
 }
 
-fn announce(out: &mut dyn Write, url: &str) -> Result<(), Error> {
+fn print_url(out: &mut dyn Write, url: &str) -> Result<(), Error> {
     writeln!(out, "{url}")?;
     out.flush()?;
     Ok(())
 }
 
-fn not_listening(listen: &str, error: &std::io::Error) -> Error {
+fn bind_error(listen: &str, error: &std::io::Error) -> Error {
     Error::Failed(format!(
         "can't listen on {listen}: {error}; give another --listen"
     ))
--- a/src/command/table.rs
+++ b/src/command/table.rs
@@ -1,4 +1,5 @@
-//! `marigoldstage table`: the operators' table of weights, limits and priorities.
+//! `marigoldstage table`: shows and edits the settings table, which holds weights, limits and
+//! priorities.
 
 pub(crate) use change::remove_row;
 pub(crate) use change::set_cells;
@@ -28,15 +29,15 @@
 const EXAMPLES: &str = "\
 Examples:
   marigoldstage table show                               every row of limits
-  marigoldstage table get org-1 chat                     the row that holds for these requests
+  marigoldstage table get org-1 chat                     the row that applies to these requests
   marigoldstage table set org-1 chat priority=0 weight=8 --wait
   marigoldstage table export limits > limits.csv         edit it in a spreadsheet, then
   marigoldstage table diff limits limits.csv             see what it would change, and
-  marigoldstage table apply limits limits.csv --wait     make the sheet so
+  marigoldstage table apply limits limits.csv --wait     make the sheet equal to it
   marigoldstage table history --last 20                  who changed what, when, from what
 
 A limit of 0 is no limit; `*` stands for any organisation or kind without a row of its own.
-Of the rows that fit, the most exact holds: organisation and kind, organisation, kind, neither.";
+Of the matching rows, the most specific applies: organisation and kind, organisation, kind, neither.";
 
 /// Declares the subcommand.
 pub fn command() -> Command {
@@ -50,7 +51,8 @@
         .subcommand(history::command())
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand given in `matches`; editing commands fail with [`Error::Conflict`] if the
+/// same row was changed meanwhile.
 pub fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     match matches.subcommand() {
         Some(("show", matches)) => read::show(matches, out),
@@ -74,7 +76,8 @@
         .default_value("limits")
 }
 
-/// A sheet before a file must be given: which of two is meant would be unclear else.
+/// Declares a sheet and a file. The sheet is required here: with a default, a single argument could
+/// be either of the two.
 fn sheet_and_file_arguments() -> [Arg; 2] {
     let none: Option<&str> = None;
     let sheet = sheet_argument().default_value(none).required(true);
@@ -104,18 +107,18 @@
 pub(crate) fn cells_argument() -> Arg {
     Arg::new(CELLS)
         .value_name("COLUMN=VALUE")
-        .help("Cells to set; the others stay as they are")
+        .help("Cells to set; the others are unchanged")
         .action(ArgAction::Append)
         .required(true)
 }
 
-fn sheet(matches: &ArgMatches) -> Result<Sheet, Error> {
-    let text = text(matches, SHEET);
+fn selected_sheet(matches: &ArgMatches) -> Result<Sheet, Error> {
+    let text = argument_text(matches, SHEET);
     text.parse::<Sheet>()
         .map_err(|error| Error::Usage(error.to_string()))
 }
 
-pub(crate) fn text<'a>(matches: &'a ArgMatches, name: &str) -> &'a str {
+pub(crate) fn argument_text<'a>(matches: &'a ArgMatches, name: &str) -> &'a str {
     matches.get_one::<String>(name).map_or("", String::as_str)
 }
 
--- a/src/command/table/change.rs
+++ b/src/command/table/change.rs
@@ -1,4 +1,5 @@
-//! Subcommands that change rows.
+//! Subcommands of `marigoldstage table` that change rows: `set`, `remove`, `edit`, `apply` and
+//! `import`.
 
 use std::io::Write;
 
@@ -16,12 +17,12 @@
 use mgs_settings::store::edit::EDIT_CHANGES_MAX;
 use mgs_settings::table::Table;
 
+use super::argument_text;
 use super::cells_argument;
 use super::key_arguments;
 use super::read;
-use super::sheet;
+use super::selected_sheet;
 use super::sheet_and_file_arguments;
-use super::text;
 use super::CELLS;
 use super::FILE;
 use super::KIND;
@@ -45,11 +46,13 @@
             .args(key_arguments())
             .args(edit::arguments()),
         Command::new("edit")
-            .about("Set the cells that a CSV gives, in one edit; other rows and cells stay")
+            .about(
+                "Set the cells that a CSV gives, in one edit; other rows and cells are unchanged",
+            )
             .args(sheet_and_file_arguments())
             .args(edit::arguments()),
         Command::new("apply")
-            .about("Make a sheet what a CSV says, in one edit; rows that it lacks are removed")
+            .about("Make a sheet equal to a CSV, in one edit; rows that the CSV lacks are removed")
             .args(sheet_and_file_arguments())
             .args(edit::arguments()),
         Command::new("import")
@@ -59,41 +62,44 @@
     ]
 }
 
-/// Sets cells of a row, given as `COLUMN=VALUE`; lists every fault.
+/// Sets cells of a row, given as `COLUMN=VALUE`; the error lists every invalid one.
 pub(crate) fn set_cells(row: &mut RowValue, matches: &ArgMatches) -> Result<(), Error> {
     let cells = matches.get_many::<String>(CELLS).unwrap_or_default();
-    let mut faults = Vec::new();
+    let mut invalid = Vec::new();
     for given in cells {
         let result = match given.split_once('=') {
             Some((column, value)) => cell::set(row, column.trim(), value.trim()),
             None => Err("give COLUMN=VALUE".to_string()),
         };
-        faults.extend(result.err().map(|detail| format!("{given}: {detail}")));
+        invalid.extend(result.err().map(|detail| format!("{given}: {detail}")));
     }
-    if faults.is_empty() {
+    if invalid.is_empty() {
         return Ok(());
     }
-    let text = faults.join("\n  ");
-    Err(Error::Usage(format!("{} faults:\n  {text}", faults.len())))
+    let text = invalid.join("\n  ");
+    Err(Error::Usage(format!("{} faults:\n  {text}", invalid.len())))
 }
 
 pub(super) fn set(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     let editor = Editor::open(matches)?;
     let table = editor.session().load()?;
-    let key = RowKey::limit(text(matches, ORGANISATION), text(matches, KIND));
-    let mut row = table.row(&key).unwrap_or_else(|| new_limit(&key));
+    let key = RowKey::limit(
+        argument_text(matches, ORGANISATION),
+        argument_text(matches, KIND),
+    );
+    let mut row = table.row(&key).unwrap_or_else(|| new_limit_row(&key));
     let before = row.clone();
     set_cells(&mut row, matches)?;
     if row.key() != key {
-        let text = "the organisation and the kind name the row; they can't be set";
+        let text = "the organisation and the kind are the row's key; they can't be set";
         return Err(Error::Usage(text.to_string()));
     }
     let unchanged = table.row(&key).is_some() && row == before;
     let changes = if unchanged { vec![] } else { vec![row.set()] };
-    editor.make(&table, changes, out)
+    editor.submit(&table, changes, out)
 }
 
-fn new_limit(key: &RowKey) -> RowValue {
+fn new_limit_row(key: &RowKey) -> RowValue {
     let mut row = Sheet::Limits.new_row();
     if let (RowValue::Limit(row), RowKey::Limit { organisation, kind }) = (&mut row, key) {
         row.organisation.clone_from(organisation);
@@ -103,11 +109,14 @@
 }
 
 pub(super) fn remove(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let key = RowKey::limit(text(matches, ORGANISATION), text(matches, KIND));
+    let key = RowKey::limit(
+        argument_text(matches, ORGANISATION),
+        argument_text(matches, KIND),
+    );
     remove_row(matches, &key, out)
 }
 
-/// Removes a row, which must be there.
+/// Removes a row; fails if the table doesn't have it.
 pub(crate) fn remove_row(
     matches: &ArgMatches,
     key: &RowKey,
@@ -118,60 +127,61 @@
     if table.row(key).is_none() {
         return Err(Error::Failed(format!("there is no {key}")));
     }
-    editor.make(&table, vec![row::remove(key)], out)
+    editor.submit(&table, vec![row::remove(key)], out)
 }
 
 pub(super) fn edit(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    change_sheet(matches, Missing::Keep, out)
+    submit_sheet(matches, Missing::Keep, out)
 }
 
 pub(super) fn apply(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    change_sheet(matches, Missing::Remove, out)
+    submit_sheet(matches, Missing::Remove, out)
 }
 
-fn change_sheet(matches: &ArgMatches, missing: Missing, out: &mut dyn Write) -> Result<(), Error> {
-    let sheet = sheet(matches)?;
+fn submit_sheet(matches: &ArgMatches, missing: Missing, out: &mut dyn Write) -> Result<(), Error> {
+    let sheet = selected_sheet(matches)?;
     let editor = Editor::open(matches)?;
     let table = editor.session().load()?;
     let lines = read::read_sheet(sheet, &read::read_file(matches)?, &table)?;
-    let plan = read::plan(editor.session(), sheet, &lines, &table, missing)?;
+    let plan = read::plan_changes(editor.session(), sheet, &lines, &table, missing)?;
     print::differences(sheet, &plan.differences, out)?;
-    read::print_newer(&plan, out)?;
-    editor.make_sheet(&table, plan.changes(), plan.seen, out)
+    read::print_kept_rows(&plan, out)?;
+    editor.submit_rows(&table, plan.changes(), plan.seen, out)
 }
 
 pub(super) fn import(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     let editor = Editor::open(matches)?;
     let mut table = editor.session().load()?;
     let file = read::read_file(matches)?;
-    let changes = if text(matches, FILE).ends_with(JSON_SUFFIX) {
+    let changes = if argument_text(matches, FILE).ends_with(JSON_SUFFIX) {
         json_changes(&file, &table)?
     } else {
-        let sheet = sheet(matches)?;
+        let sheet = selected_sheet(matches)?;
         let lines = read::read_sheet(sheet, &file, &table)?;
         plan::compare(sheet, &lines, &table, Missing::Keep).changes()
     };
     for chunk in changes.chunks(EDIT_CHANGES_MAX) {
-        editor.make(&table, chunk.to_vec(), out)?;
+        editor.submit(&table, chunk.to_vec(), out)?;
         table = editor.session().load()?;
     }
     writeln!(out, "{} rows imported", changes.len())?;
     Ok(())
 }
 
-/// Organisations come first: rows of limits refer to them.
+/// Reads an exported table and returns the changes for the rows that differ. Organisations come
+/// first, since rows of limits refer to them.
 fn json_changes(file: &str, table: &Table) -> Result<Vec<Change>, Error> {
     let snapshot: Snapshot =
         serde_json::from_str(file).map_err(|error| Error::Usage(error.to_string()))?;
     let mut rows = Table::new(snapshot).rows();
     rows.sort_by_key(|row| !matches!(row, RowValue::Organisation(_)));
-    let differs = |row: &RowValue| {
-        let known = table.row(&row.key());
-        known.map(|known| known.at_version(0)) != Some(row.clone().at_version(0))
+    let is_changed = |row: &RowValue| {
+        let current = table.row(&row.key());
+        current.map(|current| current.at_version(0)) != Some(row.clone().at_version(0))
     };
     Ok(rows
         .into_iter()
-        .filter(differs)
+        .filter(is_changed)
         .map(RowValue::set)
         .collect())
 }
--- a/src/command/table/history.rs
+++ b/src/command/table/history.rs
@@ -1,4 +1,4 @@
-//! `marigoldstage table history`: who changed what, when, from what.
+//! `marigoldstage table history`: shows edits with their time, author and base version.
 
 use std::io::Write;
 
@@ -15,18 +15,18 @@
 use crate::operator::print;
 use crate::operator::store_error;
 use crate::operator::Session;
-use crate::setting::value;
-use crate::setting::Values;
+use crate::setting::value_argument;
+use crate::setting::SettingValues;
 
 const LAST: &str = "last";
 const SINCE: &str = "since";
-const SHOWN_CHANGES: usize = 10;
+const SHOWN_CHANGES_MAX: usize = 10;
 
 pub(super) fn command() -> Command {
     Command::new("history")
         .about("Show edits: version, time, author, the version it was based on, rows")
-        .arg(value(LAST, "COUNT", "Newest edits to show").default_value("20"))
-        .arg(value(
+        .arg(value_argument(LAST, "COUNT", "Number of newest edits to show").default_value("20"))
+        .arg(value_argument(
             SINCE,
             "VERSION",
             "Show every edit after this version instead",
@@ -35,10 +35,10 @@
 }
 
 pub(super) fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let mut values = Values::new(matches);
+    let mut values = SettingValues::new(matches);
     let last = values.number(LAST, 1..=1_000_000_u64);
-    let given = values.optional(SINCE).is_some();
-    let since = given.then(|| values.number(SINCE, 0..=u64::MAX));
+    let is_since_given = values.optional_text(SINCE).is_some();
+    let since = is_since_given.then(|| values.number(SINCE, 0..=u64::MAX));
     let options = operator::options(&mut values);
     values.finish()?;
     let session = Session::new(options);
@@ -60,13 +60,13 @@
         out,
         "version {}  {}  by {}  based on {}  {} rows  id {}",
         edit.version,
-        utc(edit.at_ms),
+        format_utc(edit.at_ms),
         edit.author,
         edit.based_on,
         edit.changes.len(),
         edit.edit_id
     )?;
-    for change in edit.changes.iter().take(SHOWN_CHANGES) {
+    for change in edit.changes.iter().take(SHOWN_CHANGES_MAX) {
         let Some(key) = change_key(change) else {
             continue;
         };
@@ -75,8 +75,8 @@
             None => writeln!(out, "  remove {key}")?,
         }
     }
-    if edit.changes.len() > SHOWN_CHANGES {
-        writeln!(out, "  and {} more", edit.changes.len() - SHOWN_CHANGES)?;
+    if edit.changes.len() > SHOWN_CHANGES_MAX {
+        writeln!(out, "  and {} more", edit.changes.len() - SHOWN_CHANGES_MAX)?;
     }
     Ok(())
 }
@@ -84,10 +84,10 @@
 const MS_PER_S: u64 = 1_000;
 const S_PER_DAY: u64 = 86_400;
 
-/// A time in UTC, `YYYY-MM-DD HH:MM:SS`.
-fn utc(at_ms: u64) -> String {
+/// Formats milliseconds since the Unix epoch as `YYYY-MM-DD HH:MM:SS UTC`.
+fn format_utc(at_ms: u64) -> String {
     let seconds = at_ms / MS_PER_S;
-    let (year, month, day) = civil(seconds / S_PER_DAY);
+    let (year, month, day) = civil_date(seconds / S_PER_DAY);
     let second = seconds % S_PER_DAY;
     let (hour, minute) = (second / 3_600, second / 60 % 60);
     format!(
@@ -96,9 +96,10 @@
     )
 }
 
-/// Year, month and day of a day since the Unix epoch, in the Gregorian calendar; the year is
-/// counted from March, so that the leap day is its last.
-fn civil(days: u64) -> (u64, u64, u64) {
+/// Converts days since the Unix epoch to year, month and day in the Gregorian calendar. Internally
+/// the year begins in March, so that the leap day is its last day; an era is 400 years, after which
+/// the calendar repeats.
+fn civil_date(days: u64) -> (u64, u64, u64) {
     const DAYS_TO_EPOCH: u64 = 719_468;
     const DAYS_PER_ERA: u64 = 146_097;
     let shifted = days + DAYS_TO_EPOCH;
--- a/src/command/table/read.rs
+++ b/src/command/table/read.rs
@@ -1,4 +1,5 @@
-//! Subcommands that only read.
+//! Subcommands of `marigoldstage table` that only read: `show`, `get`, `export` and `diff`; also
+//! reads and compares sheets for the subcommands that change rows.
 
 use std::io::Read;
 use std::io::Write;
@@ -15,12 +16,12 @@
 use mgs_settings::store::read;
 use mgs_settings::table::Table;
 
+use super::argument_text;
 use super::is_json;
 use super::key_arguments;
-use super::sheet;
+use super::selected_sheet;
 use super::sheet_and_file_arguments;
 use super::sheet_argument;
-use super::text;
 use super::FILE;
 use super::KIND;
 use super::ORGANISATION;
@@ -39,7 +40,7 @@
             .arg(sheet_argument())
             .args(operator::arguments()),
         Command::new("get")
-            .about("Show the row of limits that holds for an organisation and a kind of request")
+            .about("Show the row of limits that applies to an organisation and a kind of request")
             .args(key_arguments())
             .args(operator::arguments()),
         Command::new("export")
@@ -47,14 +48,14 @@
             .arg(sheet_argument())
             .args(operator::arguments()),
         Command::new("diff")
-            .about("Show what `apply` would change; it changes nothing")
+            .about("Show what `apply` would change, without changing anything")
             .args(sheet_and_file_arguments())
             .args(operator::arguments()),
     ]
 }
 
 pub(super) fn show(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let sheet = sheet(matches)?;
+    let sheet = selected_sheet(matches)?;
     let table = Session::open(matches)?.load()?;
     let rows = sheet.rows(&table);
     if is_json(matches) {
@@ -71,11 +72,14 @@
 }
 
 pub(super) fn get(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let (organisation, kind) = (text(matches, ORGANISATION), text(matches, KIND));
+    let (organisation, kind) = (
+        argument_text(matches, ORGANISATION),
+        argument_text(matches, KIND),
+    );
     let table = Session::open(matches)?.load()?;
     let Some(row) = table.limit(organisation, kind) else {
         let text =
-            format!("no row holds for {organisation} and {kind}, nor is there one for `* *`");
+            format!("no row applies to {organisation} and {kind}; there is none for `* *` either");
         return Err(Error::Failed(text));
     };
     if is_json(matches) {
@@ -85,7 +89,7 @@
 }
 
 pub(super) fn export(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let sheet = sheet(matches)?;
+    let sheet = selected_sheet(matches)?;
     let table = Session::open(matches)?.load()?;
     if is_json(matches) {
         return print::json(table.snapshot(), out);
@@ -97,13 +101,13 @@
 }
 
 pub(super) fn diff(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
-    let sheet = sheet(matches)?;
+    let sheet = selected_sheet(matches)?;
     let session = Session::open(matches)?;
     let table = session.load()?;
     let lines = read_sheet(sheet, &read_file(matches)?, &table)?;
-    let plan = plan(&session, sheet, &lines, &table, Missing::Remove)?;
+    let plan = plan_changes(&session, sheet, &lines, &table, Missing::Remove)?;
     print::differences(sheet, &plan.differences, out)?;
-    print_newer(&plan, out)?;
+    print_kept_rows(&plan, out)?;
     writeln!(
         out,
         "{} rows differ from table version {}",
@@ -113,8 +117,9 @@
     Ok(())
 }
 
-/// What a sheet changes, without the rows that others changed and its editor left as they were.
-pub(super) fn plan(
+/// Compares a sheet with the table. Rows that others changed in the table since the sheet was
+/// exported are left out if the sheet still has them as exported.
+pub(super) fn plan_changes(
     session: &Session,
     sheet: Sheet,
     lines: &[Line],
@@ -131,19 +136,19 @@
     Ok(plan)
 }
 
-/// Names rows that a sheet lacks and that stay.
-pub(super) fn print_newer(plan: &Plan, out: &mut dyn Write) -> Result<(), Error> {
+/// Prints the rows that aren't in the sheet and are kept, since they are newer than the sheet.
+pub(super) fn print_kept_rows(plan: &Plan, out: &mut dyn Write) -> Result<(), Error> {
     for key in &plan.newer {
         writeln!(
             out,
-            "! {key} isn't in the sheet, but is newer than it: it stays"
+            "! {key} isn't in the sheet, but is newer than it: it is kept"
         )?;
     }
     Ok(())
 }
 
 pub(super) fn read_file(matches: &ArgMatches) -> Result<String, Error> {
-    let file = text(matches, FILE);
+    let file = argument_text(matches, FILE);
     let text = if file == STANDARD_INPUT {
         let mut text = String::new();
         std::io::stdin().read_to_string(&mut text).map(|_| text)
@@ -154,8 +159,8 @@
 }
 
 pub(super) fn read_sheet(sheet: Sheet, text: &str, table: &Table) -> Result<Vec<Line>, Error> {
-    sheet::from_csv(sheet, text, table).map_err(|faults| {
-        let texts: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    sheet::from_csv(sheet, text, table).map_err(|invalid_cells| {
+        let texts: Vec<String> = invalid_cells.iter().map(ToString::to_string).collect();
         Error::Usage(format!("{} faults:\n  {}", texts.len(), texts.join("\n  ")))
     })
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,27 +1,27 @@
-//! How a command ends when it doesn't succeed, and the exit code that says so.
+//! Errors of commands and the exit code of each.
 
 use std::io::ErrorKind;
 use std::process::ExitCode;
 
 use displaydoc::Display;
 
-use crate::setting::Fault;
+use crate::setting::InvalidSetting;
 
-/// Exit codes, as `marigoldstage --help` documents them.
+/// Description of the exit codes for the help.
 pub const EXIT_CODES: &str = "\
 Exit codes:
-  0  done
+  0  success
   1  failed; the message says what happened
-  2  bad usage or bad settings; nothing was started or changed
-  3  conflict: somebody else changed the same row first; nothing was changed
+  2  invalid arguments or settings; nothing was started or changed
+  3  conflict: another edit changed the same row first; nothing was changed
   4  unavailable: the platform or process can't be reached; nothing was changed
-  5  unknown: the reply was lost, so the change may have taken effect; read before trying again
+  5  unknown: the reply was lost, so the change may have taken effect; check before trying again
   6  timeout: the change is accepted, but not every process has confirmed it yet";
 
 const UNAVAILABLE_ADVICE: &str = "check --platform (or MARIGOLDSTAGE_PLATFORM) and try again";
-const UNKNOWN_ADVICE: &str = "read what is there before trying again";
+const UNKNOWN_ADVICE: &str = "read the current state before trying again";
 
-/// Why a command didn't succeed.
+/// Why a command failed; each variant has an exit code, see [`EXIT_CODES`].
 #[derive(Debug, Display)]
 pub enum Error {
     /// {0}
@@ -29,7 +29,7 @@
     /// {0}
     Usage(String),
     /// {0}
-    Settings(Faults),
+    Settings(InvalidSettings),
     /// {0}
     Conflict(String),
     /// {0}
@@ -38,14 +38,14 @@
     Unknown(String),
     /// {0}
     Timeout(String),
-    /// nobody reads the output any more
+    /// the reader closed the output
     OutputClosed,
 }
 
 impl std::error::Error for Error {}
 
 impl Error {
-    /// The exit code of the process.
+    /// Exit code of the process for this error.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(self.code())
     }
@@ -83,16 +83,18 @@
     }
 }
 
-/// All faults that the settings of one command have.
+/// All invalid settings of one command.
 #[derive(Debug)]
-pub struct Faults(pub Vec<Fault>);
+pub struct InvalidSettings(pub Vec<InvalidSetting>);
 
-impl std::fmt::Display for Faults {
+impl std::fmt::Display for InvalidSettings {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.0.len() {
             1 => write!(f, "a setting is wrong:")?,
             count => write!(f, "{count} settings are wrong:")?,
         }
-        self.0.iter().try_for_each(|fault| write!(f, "\n  {fault}"))
+        self.0
+            .iter()
+            .try_for_each(|setting| write!(f, "\n  {setting}"))
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! The command line of marigoldstage: one binary with the serving roles, the operators' commands and
-//! a demonstration.
+//! The command line of marigoldstage: one binary with the serving roles, the operators' commands
+//! and a demonstration.
 //!
-//! Each subcommand is a module of [`command`] with a `command()` that declares it and a `run()` that
-//! does it. Settings are read and checked by [`setting`]; what a command does beyond that is plumbing
-//! of the library crates.
+//! Each subcommand is a module of [`command`] with a `command()` that declares it and a `run()`
+//! that runs it. [`setting`] reads and checks the settings; beyond that, commands only connect the
+//! library crates.
 
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
@@ -16,5 +16,5 @@
 pub mod explain;
 pub mod operator;
 pub mod setting;
+pub mod shutdown;
 pub mod status;
-pub mod stop;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `marigoldstage` command.
+//! Entry point of the `marigoldstage` binary.
 
 use std::process::ExitCode;
 
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,4 +1,5 @@
-//! What the operators' commands share: reading the table, making an edit, waiting for it.
+//! Shared parts of the operators' commands: reading the settings table, submitting an edit and
+//! waiting until every process has confirmed it.
 
 pub mod edit;
 pub mod print;
@@ -13,49 +14,50 @@
 use mgs_settings::store::read::Store;
 use mgs_settings::table::Table;
 
-use crate::command::process;
+use crate::command::common;
 use crate::error::Error;
-use crate::setting::switch;
-use crate::setting::Values;
+use crate::setting::switch_argument;
+use crate::setting::SettingValues;
 
-/// Name of the switch for output to machines.
+/// Flag that selects JSON output.
 pub const JSON: &str = "json";
 
-/// Declares what each operators' command has.
+/// Declares the settings that every operators' command has.
 pub fn arguments() -> Vec<Arg> {
-    let mut arguments = process::platform_arguments();
-    arguments.push(switch(JSON, "Print JSON instead of a table"));
+    let mut arguments = common::platform_arguments();
+    arguments.push(switch_argument(JSON, "Print JSON instead of a table"));
     arguments
 }
 
-/// Reads what [`arguments`] declares.
-pub fn options(values: &mut Values<'_>) -> http::Options {
-    process::platform_options(values)
+/// Reads the platform settings that [`arguments`] declares.
+pub fn options(values: &mut SettingValues<'_>) -> http::Options {
+    common::platform_options(values)
 }
 
-/// The table service and the object store, as an operator's shell reaches them.
+/// Access of an operators' command to the platform's table service and object store.
 #[derive(Debug)]
 pub struct Session {
     client: Client,
 }
 
 impl Session {
-    /// A session with these settings; nothing is sent yet.
+    /// Creates a session; nothing is sent yet.
     pub fn new(options: http::Options) -> Self {
         Self {
             client: Client::new(options),
         }
     }
 
-    /// Reads the settings of a command that only reads.
+    /// Creates a session from the arguments of a command that only reads the table; fails if they
+    /// are invalid.
     pub fn open(matches: &ArgMatches) -> Result<Self, Error> {
-        let mut values = Values::new(matches);
+        let mut values = SettingValues::new(matches);
         let options = options(&mut values);
         values.finish()?;
         Ok(Self::new(options))
     }
 
-    /// The services.
+    /// The table service and the object store.
     pub fn store(&self) -> Store<'_> {
         Store {
             table: &self.client,
@@ -63,13 +65,13 @@
         }
     }
 
-    /// The newest table.
+    /// Loads the newest version of the settings table.
     pub fn load(&self) -> Result<Table, Error> {
         read::load(self.store()).map_err(store_error)
     }
 }
 
-/// How an error of the store ends a command.
+/// Converts an error of the settings store into the error of the command.
 pub fn store_error(error: store::Error) -> Error {
     match error {
         store::Error::Platform(error) => error.into(),
--- a/src/operator/edit.rs
+++ b/src/operator/edit.rs
@@ -1,4 +1,5 @@
-//! Making an edit, with its lost replies settled.
+//! Submits edits of the settings table; an edit whose reply was lost is retried under the same
+//! identifier, so that it is made once.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -24,9 +25,9 @@
 use super::wait;
 use super::Session;
 use crate::error::Error;
-use crate::setting::switch;
-use crate::setting::value;
-use crate::setting::Values;
+use crate::setting::switch_argument;
+use crate::setting::value_argument;
+use crate::setting::SettingValues;
 
 const AUTHOR: &str = "author";
 const EDIT_ID: &str = "edit-id";
@@ -34,73 +35,76 @@
 const WAIT: &str = "wait";
 const WAIT_MS: &str = "wait-ms";
 
-const TIMEOUT_MS_MAX: u64 = 3_600_000;
-const PAUSE: Duration = Duration::from_millis(300);
+const WAIT_MS_MAX: u64 = 3_600_000;
+/// Delay between attempts to commit an edit whose reply was lost.
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Variable of the shell that names its user.
+/// Environment variable that holds the user's name.
 const USER_VARIABLE: &str = "USER";
 
-/// Declares what each command has that edits the table.
+/// Declares the settings of every command that edits the table.
 pub fn arguments() -> Vec<Arg> {
     let mut arguments = super::arguments();
     arguments.extend([
-        value(
+        value_argument(
             AUTHOR,
             "NAME",
-            "Who makes the edit, for the history; the shell's USER if not given",
+            "Author of the edit in the history; the environment's USER if not given",
         ),
-        value(
+        value_argument(
             EDIT_ID,
             "ID",
-            "Identifier of an edit whose reply was lost, to settle it",
+            "Identifier of an edit whose reply was lost, to look it up and retry it if it was not accepted",
         ),
-        value(SETTLE_MS, "MS", "Longest time to settle a lost reply").default_value("10000"),
-        switch(
+        value_argument(SETTLE_MS, "MS", "Maximum time to retry an edit whose reply was lost")
+            .default_value("10000"),
+        switch_argument(
             WAIT,
-            "Wait until every live process has the edit in force; name those that haven't",
+            "Wait until every live process has confirmed the edit; list those that haven't",
         ),
-        value(WAIT_MS, "MS", "Longest time to wait for them").default_value("30000"),
+        value_argument(WAIT_MS, "MS", "Maximum time to wait for them").default_value("30000"),
     ]);
     arguments
 }
 
-/// How edits are made.
+/// Settings of a command that edits the table.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Who makes them.
+    /// Author that the history records.
     pub author: String,
-    /// Identifier of an edit that was tried before.
+    /// Identifier of an earlier edit whose reply was lost.
     pub edit_id: Option<String>,
-    /// Longest time to settle a lost reply, in milliseconds.
+    /// Maximum time to retry an edit whose reply was lost, in milliseconds.
     pub settle_ms: u64,
-    /// How long to wait until the edit is in force, in milliseconds; not at all if absent.
+    /// Maximum time to wait until every process has confirmed the edit, in milliseconds; `None` to
+    /// not wait.
     pub wait_ms: Option<u64>,
-    /// The platform.
+    /// Address and timeouts of the platform.
     pub platform: http::Options,
 }
 
-/// Reads what [`arguments`] declares.
+/// Reads the settings that [`arguments`] declares; fails if any is invalid.
 pub fn options(matches: &ArgMatches) -> Result<Options, Error> {
-    let mut values = Values::new(matches);
-    let wait_ms = values.number(WAIT_MS, 1..=TIMEOUT_MS_MAX);
+    let mut values = SettingValues::new(matches);
+    let wait_ms = values.number(WAIT_MS, 1..=WAIT_MS_MAX);
     let options = Options {
-        author: author(&values),
-        edit_id: values.optional(EDIT_ID),
-        settle_ms: values.number(SETTLE_MS, 0..=TIMEOUT_MS_MAX),
-        wait_ms: values.switch(WAIT).then_some(wait_ms),
+        author: author_or_user(&values),
+        edit_id: values.optional_text(EDIT_ID),
+        settle_ms: values.number(SETTLE_MS, 0..=WAIT_MS_MAX),
+        wait_ms: values.is_set(WAIT).then_some(wait_ms),
         platform: super::options(&mut values),
     };
     values.finish()?;
     Ok(options)
 }
 
-fn author(values: &Values<'_>) -> String {
-    let given = values.optional(AUTHOR);
+fn author_or_user(values: &SettingValues<'_>) -> String {
+    let given = values.optional_text(AUTHOR);
     let user = || std::env::var(USER_VARIABLE).ok();
     given.or_else(user).unwrap_or_else(|| "unknown".to_string())
 }
 
-/// Makes edits for one command.
+/// Submits the edits of one command.
 #[derive(Debug)]
 pub struct Editor {
     session: Session,
@@ -108,37 +112,39 @@
 }
 
 impl Editor {
-    /// An editor with the settings of a command.
+    /// Creates an editor from the settings of a command; fails if they are invalid.
     pub fn open(matches: &ArgMatches) -> Result<Self, Error> {
         let options = options(matches)?;
         let session = Session::new(options.platform.clone());
         Ok(Self { session, options })
     }
 
-    /// The services.
+    /// The session through which the editor reads and writes the table.
     pub fn session(&self) -> &Session {
         &self.session
     }
 
-    /// Makes an edit that was begun on `base`, says its version, and waits if that is asked for.
-    pub fn make(
+    /// Submits an edit that is based on the table `base`, prints its version and, with `--wait`,
+    /// waits until every process has confirmed it.
+    pub fn submit(
         &self,
         base: &Table,
         changes: Vec<Change>,
         out: &mut dyn Write,
     ) -> Result<(), Error> {
-        self.make_sheet(base, changes, BTreeMap::new(), out)
+        self.submit_rows(base, changes, BTreeMap::new(), out)
     }
 
-    /// Makes an edit whose rows were seen at the versions given.
-    pub fn make_sheet(
+    /// Like [`submit`](Self::submit), for rows that come from an earlier export; `seen` holds the
+    /// versions that they had then. The edit conflicts if one of them has changed since.
+    pub fn submit_rows(
         &self,
         base: &Table,
         changes: Vec<Change>,
         seen: BTreeMap<RowKey, u64>,
         out: &mut dyn Write,
     ) -> Result<(), Error> {
-        let outcome = match self.made_before()? {
+        let outcome = match self.committed_version()? {
             Some(version) => Outcome {
                 version,
                 already: true,
@@ -153,7 +159,7 @@
         let already = if outcome.already { " before" } else { "" };
         writeln!(out, "accepted{already} as version {}", outcome.version)?;
         match self.options.wait_ms {
-            Some(wait_ms) => wait::in_force(&self.session, outcome.version, wait_ms, out),
+            Some(wait_ms) => wait::until_confirmed(&self.session, outcome.version, wait_ms, out),
             None => Ok(()),
         }
     }
@@ -172,21 +178,23 @@
         }
     }
 
-    fn made_before(&self) -> Result<Option<u64>, Error> {
+    /// Version of the edit that `--edit-id` gives, if it was accepted earlier.
+    fn committed_version(&self) -> Result<Option<u64>, Error> {
         let Some(edit_id) = &self.options.edit_id else {
             return Ok(None);
         };
         let found = read::find_edit(self.session.store().table, edit_id);
-        found.map_err(|error| Error::Unknown(unknown(&error.to_string(), edit_id)))
+        found.map_err(|error| Error::Unknown(unknown_text(&error.to_string(), edit_id)))
     }
 
+    /// Commits the edit; retries while its outcome is unknown, for at most `settle_ms`.
     fn commit(&self, base: &Table, mut options: edit::Options) -> Result<Outcome, Error> {
-        let end = Instant::now() + Duration::from_millis(self.options.settle_ms);
+        let deadline = Instant::now() + Duration::from_millis(self.options.settle_ms);
         loop {
             match commit(self.session.store(), base, &options) {
-                Err(edit::Error::Unknown(_)) if Instant::now() < end => {
+                Err(edit::Error::Unknown(_)) if Instant::now() < deadline => {
                     options.retried = true;
-                    thread::sleep(PAUSE);
+                    thread::sleep(RETRY_INTERVAL);
                 }
                 result => return result.map_err(|error| edit_error(error, &options.edit_id)),
             }
@@ -194,9 +202,9 @@
     }
 }
 
-fn unknown(reason: &str, edit_id: &str) -> String {
+fn unknown_text(reason: &str, edit_id: &str) -> String {
     format!(
-        "{reason}\nthe edit may have been accepted; the same command with --edit-id {edit_id} settles it"
+        "{reason}\nthe edit may have been accepted; repeat the command with --edit-id {edit_id} to look it up and retry it"
     )
 }
 
@@ -210,7 +218,7 @@
             faults.join("\n  ")
         )),
         edit::Error::Refused(error) => store_error(error),
-        edit::Error::Unknown(error) => Error::Unknown(unknown(&error.to_string(), edit_id)),
+        edit::Error::Unknown(error) => Error::Unknown(unknown_text(&error.to_string(), edit_id)),
     }
 }
 
--- a/src/operator/print.rs
+++ b/src/operator/print.rs
@@ -1,4 +1,4 @@
-//! Rows for people and for machines.
+//! Prints rows as aligned columns or as JSON.
 
 use std::io::Write;
 
@@ -10,7 +10,7 @@
 
 use crate::error::Error;
 
-/// Prints JSON.
+/// Prints a value as indented JSON.
 pub fn json<T: Serialize>(value: &T, out: &mut dyn Write) -> Result<(), Error> {
     let text = serde_json::to_string_pretty(value);
     let text = text.map_err(|error| Error::Failed(error.to_string()))?;
@@ -23,18 +23,18 @@
     let header: Vec<String> = sheet::header(sheet).map(String::from).collect();
     let mut lines = vec![header];
     lines.extend(rows.iter().map(|row| sheet::cells(sheet, row)));
-    aligned(&lines, out)
+    aligned_columns(&lines, out)
 }
 
 /// Prints rows of one sheet as JSON.
 pub fn json_rows(rows: &[RowValue], out: &mut dyn Write) -> Result<(), Error> {
     let values: Result<Vec<serde_json::Value>, serde_json::Error> =
-        rows.iter().map(value).collect();
+        rows.iter().map(row_to_json).collect();
     let values = values.map_err(|error| Error::Failed(error.to_string()))?;
     json(&values, out)
 }
 
-fn value(row: &RowValue) -> Result<serde_json::Value, serde_json::Error> {
+fn row_to_json(row: &RowValue) -> Result<serde_json::Value, serde_json::Error> {
     match row {
         RowValue::Limit(row) => serde_json::to_value(row),
         RowValue::Organisation(row) => serde_json::to_value(row),
@@ -43,7 +43,7 @@
 }
 
 /// Prints lines of cells with their columns aligned.
-pub fn aligned(lines: &[Vec<String>], out: &mut dyn Write) -> Result<(), Error> {
+pub fn aligned_columns(lines: &[Vec<String>], out: &mut dyn Write) -> Result<(), Error> {
     let columns = lines.first().map_or(0, Vec::len);
     let width = |column: usize| {
         let cells = lines.iter().filter_map(|line| line.get(column));
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-/// Prints what would change, cell by cell.
+/// Prints each difference as an added, removed or changed row, the latter cell by cell.
 pub fn differences(
     sheet: Sheet,
     differences: &[Difference],
--- a/src/operator/wait.rs
+++ b/src/operator/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting until every live process has a version in force.
+//! Waits until every live process has confirmed a version of the settings table.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -17,71 +17,74 @@
 use super::Session;
 use crate::error::Error;
 
-const PAUSE: Duration = Duration::from_millis(500);
-const NAMED_MAX: usize = 20;
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+const LISTED_MAX: usize = 20;
 
 /// Waits until every live gateway, and every sidecar that one is connected to, has confirmed a
-/// version. A gateway is live while its row changes; one that died is waited for until its row
-/// has been unchanged for its lease.
-pub fn in_force(
+/// version; fails with [`Error::Timeout`] after `wait_ms`. A gateway is live while its row changes;
+/// a gateway that has crashed counts as live until its row has been unchanged for its lease.
+pub fn until_confirmed(
     session: &Session,
     version: u64,
     wait_ms: u64,
     out: &mut dyn Write,
 ) -> Result<(), Error> {
-    let begin = Instant::now();
+    let started = Instant::now();
     let mut observer = Observer::default();
     loop {
-        let now_ms = begin.elapsed().as_millis() as u64;
-        let seen = look(session, &mut observer, now_ms, version);
-        match seen {
-            Ok(seen) if seen.gateways == 0 => {
+        let now_ms = started.elapsed().as_millis() as u64;
+        let state = read_state(session, &mut observer, now_ms, version);
+        match state {
+            Ok(state) if state.gateways == 0 => {
                 writeln!(
                     out,
                     "no gateway is live; each reads the table before it serves"
                 )?;
                 return Ok(());
             }
-            Ok(seen) if seen.late.is_empty() => {
+            Ok(state) if state.unconfirmed.is_empty() => {
                 writeln!(
                     out,
                     "in force at {} gateways and {} sidecars after {now_ms} ms",
-                    seen.gateways, seen.sidecars
+                    state.gateways, state.sidecars
                 )?;
                 return Ok(());
             }
-            Ok(seen) if now_ms >= wait_ms => return Err(Error::Timeout(late_text(version, &seen))),
+            Ok(state) if now_ms >= wait_ms => {
+                return Err(Error::Timeout(unconfirmed_text(version, &state)))
+            }
             Err(error) if now_ms >= wait_ms => {
-                let text =
-                    format!("version {version} is accepted; who has it isn't known: {error}");
+                let text = format!(
+                    "version {version} is accepted; which processes have it isn't known: {error}"
+                );
                 return Err(Error::Timeout(text));
             }
-            Ok(_) | Err(_) => thread::sleep(PAUSE),
+            Ok(_) | Err(_) => thread::sleep(POLL_INTERVAL),
         }
     }
 }
 
-/// Who has confirmed.
+/// Numbers of live processes, and those that haven't confirmed the version.
 #[derive(Debug)]
-struct Seen {
+struct ConfirmationState {
     gateways: usize,
     sidecars: usize,
-    late: Vec<Process>,
+    unconfirmed: Vec<Process>,
 }
 
-fn look(
+fn read_state(
     session: &Session,
     observer: &mut Observer,
     now_ms: u64,
     version: u64,
-) -> Result<Seen, Error> {
+) -> Result<ConfirmationState, Error> {
     let table = session.store().table;
     let members = scan_all(table, member::GATEWAY_PREFIX)?;
     observer.observe(now_ms, &members).map_err(store_error)?;
     let live = observer.live(member::Options::default().lease_ms);
     let incarnations = live
         .iter()
-        .map(|(name, m)| ((*name).to_string(), m.incarnation));
+        .map(|(name, member)| ((*name).to_string(), member.incarnation));
     let gateways: BTreeMap<String, u64> = incarnations.collect();
     let mut expected = Expected {
         gateways,
@@ -89,28 +92,31 @@
     };
     let rows = scan_all(table, confirm::PREFIX)?;
     expected.sidecars = confirm::connected(&expected, &rows).map_err(store_error)?;
-    let late = confirm::waiting(version, &expected, &rows).map_err(store_error)?;
-    Ok(Seen {
+    let unconfirmed = confirm::waiting(version, &expected, &rows).map_err(store_error)?;
+    Ok(ConfirmationState {
         gateways: expected.gateways.len(),
         sidecars: expected.sidecars.len(),
-        late,
+        unconfirmed,
     })
 }
 
-fn late_text(version: u64, seen: &Seen) -> String {
+fn unconfirmed_text(version: u64, state: &ConfirmationState) -> String {
     let mut text = format!(
         "version {version} is accepted, but {} of {} processes haven't confirmed it yet:",
-        seen.late.len(),
-        seen.gateways + seen.sidecars
+        state.unconfirmed.len(),
+        state.gateways + state.sidecars
     );
-    for process in seen.late.iter().take(NAMED_MAX) {
+    for process in state.unconfirmed.iter().take(LISTED_MAX) {
         match process {
             Process::Gateway(name) => text.push_str(&format!("\n  gateway {name}")),
             Process::Sidecar(name) => text.push_str(&format!("\n  sidecar {name}")),
         }
     }
-    if seen.late.len() > NAMED_MAX {
-        text.push_str(&format!("\n  and {} more", seen.late.len() - NAMED_MAX));
+    if state.unconfirmed.len() > LISTED_MAX {
+        text.push_str(&format!(
+            "\n  and {} more",
+            state.unconfirmed.len() - LISTED_MAX
+        ));
     }
     text
 }
--- a/src/setting/number.rs
+++ b/src/setting/number.rs
@@ -1,45 +1,51 @@
-//! Settings that are whole numbers, each declared once: flag, help, bounds and the field it fills.
+//! Whole-number settings of a role, each declared once with flag, help, bounds and the field of the
+//! options that it sets.
 
 use clap::Arg;
 
-use super::value;
-use super::Values;
+use super::value_argument;
+use super::SettingValues;
 
-/// Longest time that a setting may give, in milliseconds: a day.
+/// Upper bound of settings in milliseconds: one day.
 pub const MS_MAX: u64 = 86_400_000;
 
-/// A whole number of a role's settings `O`, whose default is the field's own.
-pub struct Number<O> {
-    /// Flag, without dashes.
+/// A whole-number setting of a role with the settings `Options`. Its default is the value that the
+/// field has in the default `Options`.
+pub struct NumberSetting<Options> {
+    /// Flag, without the leading dashes.
     pub flag: &'static str,
-    /// Unit, as the help shows it.
+    /// Unit of the value, as shown in the help.
     pub unit: &'static str,
     /// One line of help.
     pub help: &'static str,
-    /// Least value.
-    pub least: u64,
-    /// Greatest value.
-    pub most: u64,
+    /// Minimum value.
+    pub min: u64,
+    /// Maximum value.
+    pub max: u64,
     /// Reads the field.
-    pub get: fn(&O) -> u64,
+    pub get: fn(&Options) -> u64,
     /// Writes the field.
-    pub set: fn(&mut O, u64),
+    pub set: fn(&mut Options, u64),
 }
 
-/// Declares the numbers.
-pub fn arguments<O: Default>(numbers: &[Number<O>]) -> Vec<Arg> {
-    let defaults = O::default();
-    let declare = |number: &Number<O>| {
-        let default = (number.get)(&defaults).to_string();
-        value(number.flag, number.unit, number.help).default_value(default)
+/// Declares the settings, with the defaults of the options.
+pub fn arguments<Options: Default>(settings: &[NumberSetting<Options>]) -> Vec<Arg> {
+    let defaults = Options::default();
+    let argument = |setting: &NumberSetting<Options>| {
+        let default = (setting.get)(&defaults).to_string();
+        value_argument(setting.flag, setting.unit, setting.help).default_value(default)
     };
-    numbers.iter().map(declare).collect()
+    settings.iter().map(argument).collect()
 }
 
-/// Reads the numbers into their fields.
-pub fn read<O>(numbers: &[Number<O>], values: &mut Values<'_>, options: &mut O) {
-    for number in numbers {
-        let given = values.number(number.flag, number.least..=number.most);
-        (number.set)(options, given);
+/// Reads the settings into their fields of the options.
+pub fn read<Options>(
+    settings: &[NumberSetting<Options>],
+    values: &mut SettingValues<'_>,
+    options: &mut Options,
+) {
+    for setting in settings {
+        let given = values.number(setting.flag, setting.min..=setting.max);
+        (setting.set)(options, given);
     }
 }
--- a/src/status/member.rs
+++ b/src/status/member.rs
@@ -1,4 +1,5 @@
-//! What the platform knows of processes: their rows and the settings that they have confirmed.
+//! Reads the processes that are registered on the platform and the settings versions that they have
+//! confirmed.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,46 +15,47 @@
 
 use crate::error::Error;
 
-/// A process that has a row on the platform.
+/// A process that is registered on the platform.
 #[derive(Debug, Clone, Serialize)]
-pub struct Known {
+pub struct MemberStatus {
     /// `gateway` or `sidecar`.
     pub role: &'static str,
-    /// Name.
+    /// Name of the process.
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Address for other processes.
+    /// Address on which other processes reach it.
     pub address: String,
-    /// Version of the settings that it has confirmed, if any.
+    /// Version of the settings that it has confirmed; `None` if it hasn't confirmed any.
     pub settings_version: Option<u64>,
 }
 
-/// Reads all rows of processes.
-pub fn read(table: &dyn Table) -> Result<Vec<Known>, Error> {
-    let confirmed = confirmed(&scan_all(table, confirm::PREFIX)?)?;
-    let mut known = Vec::new();
+/// Reads the rows of all gateways and sidecars; fails if the platform can't be reached or a row
+/// can't be parsed.
+pub fn read(table: &dyn Table) -> Result<Vec<MemberStatus>, Error> {
+    let confirmed = confirmed_versions(&scan_all(table, confirm::PREFIX)?)?;
+    let mut members = Vec::new();
     for (role, prefix) in [
         ("gateway", member::GATEWAY_PREFIX),
         ("sidecar", member::SIDECAR_PREFIX),
     ] {
         for row in scan_all(table, prefix)? {
-            known.push(decode(role, prefix, &row, &confirmed)?);
+            members.push(member_status(role, prefix, &row, &confirmed)?);
         }
     }
-    Ok(known)
+    Ok(members)
 }
 
-fn decode(
+fn member_status(
     role: &'static str,
     prefix: &str,
     row: &Row,
     confirmed: &BTreeMap<(&str, String), u64>,
-) -> Result<Known, Error> {
-    let member: member::Member = parse(row)?;
+) -> Result<MemberStatus, Error> {
+    let member: member::Member = parse_row(row)?;
     let name = row.key.trim_start_matches(prefix).to_string();
     let settings_version = confirmed.get(&(role, name.clone())).copied();
-    Ok(Known {
+    Ok(MemberStatus {
         role,
         name,
         zone: member.zone,
@@ -62,12 +64,12 @@
     })
 }
 
-/// Versions by role and name; a sidecar's is the newest that a gateway has seen it have.
-fn confirmed(rows: &[Row]) -> Result<BTreeMap<(&'static str, String), u64>, Error> {
+/// Confirmed versions by role and name; for a sidecar, the newest that any gateway has reported.
+fn confirmed_versions(rows: &[Row]) -> Result<BTreeMap<(&'static str, String), u64>, Error> {
     let mut versions = BTreeMap::new();
     for row in rows {
         let name = row.key.trim_start_matches(confirm::PREFIX).to_string();
-        let confirmation: Confirmation = parse(row)?;
+        let confirmation: Confirmation = parse_row(row)?;
         versions.insert(("gateway", name), confirmation.version);
         for (name, version) in confirmation.sidecars {
             let newest = versions.entry(("sidecar", name)).or_insert(version);
@@ -77,20 +79,20 @@
     Ok(versions)
 }
 
-fn parse<T: serde::de::DeserializeOwned>(row: &Row) -> Result<T, Error> {
+fn parse_row<T: serde::de::DeserializeOwned>(row: &Row) -> Result<T, Error> {
     let parsed = serde_json::from_str(&row.value);
     parsed.map_err(|error| Error::Failed(format!("can't read the row {}: {error}", row.key)))
 }
 
-/// Prints a line for each process.
-pub fn print_table(known: &[Known], out: &mut dyn Write) -> io::Result<()> {
+/// Prints a table with a row for each process.
+pub fn print_table(members: &[MemberStatus], out: &mut dyn Write) -> io::Result<()> {
     let columns = ["role", "name", "zone", "address", "settings"];
     let [role, name, zone, address, settings] = columns;
     writeln!(
         out,
         "{role:<10}{name:<24}{zone:<14}{address:<24}{settings:>8}"
     )?;
-    for process in known {
+    for process in members {
         let version = process.settings_version;
         let version = version.map_or("-".to_string(), |version| version.to_string());
         writeln!(
--- a/src/status/mod.rs
+++ b/src/status/mod.rs
@@ -1,4 +1,5 @@
-//! Reads `/readyz` and `/metrics` of processes, and their rows on the platform.
+//! Reads and prints the status of processes from their `/readyz` and `/metrics`, and from their
+//! rows on the platform.
 
 pub mod member;
 
@@ -13,33 +14,33 @@
 
 const REASON_SHOWN_CHARS: usize = 60;
 
-/// What a process says of itself.
+/// Readiness and metrics of a process, as its admin server reports them.
 #[derive(Debug, Clone, Serialize)]
-pub struct Process {
-    /// Its operators' address.
+pub struct ProcessStatus {
+    /// Admin address of the process.
     pub address: SocketAddr,
-    /// Whether it answered at all.
+    /// Whether it answered `/readyz`.
     pub reached: bool,
-    /// Whether it takes work.
+    /// Whether it is ready to take requests.
     pub ready: bool,
-    /// Why not, or why it wasn't reached; empty if ready.
+    /// Why it isn't ready, wasn't reached or gave no metrics; else empty.
     pub reason: String,
-    /// Values of its metrics by name and labels, as `/metrics` gives them.
+    /// Metric values by name and labels, in the notation of `/metrics`.
     pub metrics: BTreeMap<String, f64>,
 }
 
-impl Process {
+impl ProcessStatus {
     /// Sum of a metric over its labels; `None` if the process has no such metric.
     pub fn total(&self, name: &str) -> Option<f64> {
-        let of_name = |key: &str| key == name || key.starts_with(&format!("{name}{{"));
-        let values = self.metrics.iter().filter(|(key, _)| of_name(key));
+        let has_name = |key: &str| key == name || key.starts_with(&format!("{name}{{"));
+        let values = self.metrics.iter().filter(|(key, _)| has_name(key));
         values.map(|(_, value)| *value).reduce(|a, b| a + b)
     }
 }
 
-/// Asks one process.
-pub fn ask(address: SocketAddr, timeout: Duration) -> Process {
-    let mut process = Process {
+/// Queries `/readyz` and `/metrics` of one process; `timeout` bounds each of the two calls.
+pub fn query(address: SocketAddr, timeout: Duration) -> ProcessStatus {
+    let mut process = ProcessStatus {
         address,
         reached: false,
         ready: false,
@@ -79,7 +80,7 @@
     Ok((success, body))
 }
 
-/// Reads the OpenMetrics text format; lines that aren't a name and a number are passed over.
+/// Reads the OpenMetrics text format; lines that aren't a name and a number are skipped.
 ///
 /// ```
 /// let metrics = marigoldstage::status::parse_metrics("# TYPE a counter\na_total{b=\"c d\"} 3\n");
@@ -94,7 +95,7 @@
     pairs.collect()
 }
 
-/// A column of the table: its title and the metrics of which the first known one is shown.
+/// A column of the table: its title, and metrics of which it shows the first that the process has.
 struct Column {
     title: &'static str,
     metrics: &'static [&'static str],
@@ -129,8 +130,8 @@
     },
 ];
 
-/// Prints a line for each process.
-pub fn print_table(processes: &[Process], out: &mut dyn Write) -> io::Result<()> {
+/// Prints a table with a row for each process.
+pub fn print_table(processes: &[ProcessStatus], out: &mut dyn Write) -> io::Result<()> {
     write!(out, "{:<22}{:<10}", "address", "state")?;
     for column in &COLUMNS {
         write!(out, "{:>10}", column.title)?;
@@ -138,10 +139,10 @@
     writeln!(out, "  reason")?;
     processes
         .iter()
-        .try_for_each(|process| print_line(process, out))
+        .try_for_each(|process| print_row(process, out))
 }
 
-fn print_line(process: &Process, out: &mut dyn Write) -> io::Result<()> {
+fn print_row(process: &ProcessStatus, out: &mut dyn Write) -> io::Result<()> {
     let state = match (process.reached, process.ready) {
         (false, _) => "silent",
         (true, true) => "ready",
