--- a/src/command/demo.rs
+++ b/src/command/demo.rs
@@ -116,11 +116,11 @@
 }
 
 fn options(values: &mut SettingValues<'_>) -> demo::Options {
-    let first = values.address(LISTEN);
-    let second = SocketAddr::from(([127, 0, 0, 1], 0));
+    let first_gateway = values.address(LISTEN);
+    let second_gateway = SocketAddr::from(([127, 0, 0, 1], 0));
     demo::Options {
         fleet: fleet::Options {
-            gateways: vec![first, second],
+            gateways: vec![first_gateway, second_gateway],
             engines: values.number(ENGINES, 1..=64),
             time_scale: values.number(TIME_SCALE, 0.01..=1_000.0),
             ..fleet::Options::default()
--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -125,10 +125,10 @@
     let placing = parameter_overrides(&mut values, PLACING, options::Options::with);
     let turns = parameter_overrides(&mut values, TURNS, turn::Options::with);
     values.finish()?;
-    let failed = |error: String| Error::Failed(error);
-    let settings = Settings::read(&path).map_err(|error| failed(error.to_string()))?;
-    let _logs =
-        logs::start_bounded(&logs::Options { level }).map_err(|error| failed(error.to_string()))?;
+    let command_error = |error: String| Error::Failed(error);
+    let settings = Settings::read(&path).map_err(|error| command_error(error.to_string()))?;
+    let _logs = logs::start_bounded(&logs::Options { level })
+        .map_err(|error| command_error(error.to_string()))?;
     serve(
         path,
         settings,
@@ -164,7 +164,7 @@
     overrides: ParameterOverrides,
     metrics_port: u16,
 ) -> Result<(), Error> {
-    let failed = |error: String| Error::Failed(error);
+    let command_error = |error: String| Error::Failed(error);
     let mut startup_options = options(&settings);
     startup_options.relay.placing = overrides.placing;
     startup_options.relay.turns = overrides.turns;
@@ -202,7 +202,7 @@
         published.clone(),
         counters,
     )
-    .map_err(|error| failed(error.to_string()))?;
+    .map_err(|error| command_error(error.to_string()))?;
     let on_listening = |addresses: relay::Addresses| {
         log::info!(clients:% = addresses.client, peers:% = addresses.peer; "listening");
     };
@@ -221,7 +221,7 @@
         on_listening,
         wait_for_termination(reloader),
     )
-    .map_err(|error| failed(error.to_string()))?;
+    .map_err(|error| command_error(error.to_string()))?;
     log::info!("stopped");
     log::logger().flush();
     Ok(())
--- a/src/command/request.rs
+++ b/src/command/request.rs
@@ -219,10 +219,11 @@
 }
 
 fn matches_filters(matches: &ArgMatches, status: &Status) -> bool {
-    let given = |name: &str| matches.get_one::<String>(name);
-    let organisation = given(ORGANISATION).is_none_or(|name| *name == status.entry.organisation);
-    let state = given(STATE).is_none_or(|state| state == status.state());
-    organisation && state
+    let filter = |name: &str| matches.get_one::<String>(name);
+    let organisation_matches =
+        filter(ORGANISATION).is_none_or(|name| *name == status.entry.organisation);
+    let state_matches = filter(STATE).is_none_or(|state| state == status.state());
+    organisation_matches && state_matches
 }
 
 fn checked_id(matches: &ArgMatches) -> Result<&str, Error> {
