--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -24,7 +24,7 @@
 use crate::drain::Phase;
 use crate::fault::Fault;
 use crate::fault::Refusal;
-use crate::peers::ON_THE_WAY_MS;
+use crate::peers::TRANSIT_MS;
 use crate::place::RETRY_AFTER_NO_ENDPOINT_MS;
 use crate::view::Endpoint;
 use crate::wait::RETRY_AFTER_MAX_MS;
@@ -132,7 +132,7 @@
             Ok(true) => self.board_changed.notify_one(),
             Ok(false) => {}
             Err(shut) => {
-                self.metrics.shut.inc(shut.reason.name());
+                self.metrics.shut_before_dispatch.inc(shut.reason.name());
                 return Err(shut);
             }
         }
@@ -181,7 +181,7 @@
     pub(crate) fn share_limits(&self, staying: Vec<u64>) {
         let is_leaving = self.drain.phase() != Phase::Serving;
         let is_known = self.gateways_sharing().is_some() && !is_leaving;
-        let gateways = self.headcount.borrow().gateways();
+        let gateways = self.gateway_count.borrow().heard_gateways();
         let by_hash = self.published.endpoint_hashes();
         let mut table = self.backpressure.borrow_mut();
         table.set_gateways(Gateways {
@@ -197,7 +197,7 @@
 fn heard_word(word: &LimitWord, now_ms: f64) -> Word {
     let per_s = word.per_s_thousandths.map(|per_s| per_s as f64 / 1e3);
     // A limit that was heard while its end was on the way goes before that.
-    let on_the_way_ms = if per_s.is_none() { ON_THE_WAY_MS } else { 0 };
+    let on_the_way_ms = if per_s.is_none() { TRANSIT_MS } else { 0 };
     let at_ms = now_ms - f64::from(word.age_ms) - on_the_way_ms as f64;
     Word { per_s, at_ms }
 }
--- a/crates/mgs-relay/src/bad_rows.rs
+++ b/crates/mgs-relay/src/bad_rows.rs
@@ -11,7 +11,7 @@
 
 /// Rows that are remembered as told; beyond that all may be told again, so that a writer of ever new keys can't fill
 /// a host's memory.
-const TOLD_MAX: usize = 10_000;
+const LOGGED_MAX: usize = 10_000;
 
 /// Most of a key that is told, in characters.
 const KEY_CHARS_MAX: usize = 200;
@@ -27,7 +27,7 @@
 
 impl<'a> BadRow<'a> {
     /// One that can be read, and that isn't taken for what it says beside others.
-    pub(crate) fn of(key: &'a str, fault: RowFault) -> Self {
+    pub(crate) fn without_detail(key: &'a str, fault: RowFault) -> Self {
         Self {
             key,
             fault,
@@ -40,24 +40,24 @@
 /// The rows of one topic that have been told.
 #[derive(Debug)]
 pub(crate) struct BadRows {
-    told: HashMap<String, RowFault>,
+    logged: HashMap<String, RowFault>,
     counters: Counters,
 }
 
 impl BadRows {
     pub(crate) fn new(counters: Counters) -> Self {
         Self {
-            told: HashMap::new(),
+            logged: HashMap::new(),
             counters,
         }
     }
 
     /// A row names nothing to use.
-    pub(crate) fn note(&mut self, topic: Topic, row: &BadRow<'_>) {
-        if self.told.len() >= TOLD_MAX {
-            self.told.clear();
+    pub(crate) fn report(&mut self, topic: Topic, row: &BadRow<'_>) {
+        if self.logged.len() >= LOGGED_MAX {
+            self.logged.clear();
         }
-        let before = self.told.insert(row.key.to_string(), row.fault);
+        let before = self.logged.insert(row.key.to_string(), row.fault);
         if before == Some(row.fault) {
             return;
         }
@@ -77,15 +77,15 @@
 
     /// A row can be used, or is gone.
     pub(crate) fn clear(&mut self, topic: Topic, key: &str) {
-        if self.told.remove(key).is_some() {
+        if self.logged.remove(key).is_some() {
             log::info!(topic = topic.name(), key = key; "a row of the store is right again or gone");
         }
     }
 
     /// All rows can be used.
     pub(crate) fn clear_all(&mut self, topic: Topic) {
-        let told = std::mem::take(&mut self.told);
-        for key in told.keys() {
+        let logged = std::mem::take(&mut self.logged);
+        for key in logged.keys() {
             log::info!(topic = topic.name(), key = key; "a row of the store is right again or gone");
         }
     }
--- a/crates/mgs-relay/src/tell.rs
+++ b/crates/mgs-relay/src/broadcast.rs
@@ -18,16 +18,16 @@
 use tokio::time::timeout_at;
 use tokio::time::Instant;
 
-use crate::belief::Belief;
 use crate::core::Core;
 use crate::drain::Phase;
-use crate::peers::Known;
+use crate::freshness::Freshness;
 use crate::peers::Message;
-use crate::traffic::Carried;
+use crate::peers::PeerTable;
+use crate::traffic::TrafficKind;
 use crate::view::Fleet;
 
 /// Least time between two messages: what is placed meanwhile goes together.
-pub(crate) const INTERVAL_MIN: Duration = Duration::from_millis(15);
+pub(crate) const SEND_INTERVAL_MIN: Duration = Duration::from_millis(15);
 
 /// Time between two whole messages.
 const WHOLE_INTERVAL: Duration = Duration::from_millis(300);
@@ -36,80 +36,80 @@
 pub(crate) const MESSAGE_BYTES_MAX: usize = 1_400;
 
 /// Whole messages go to all listed gateways each so many messages, else to those heard of late.
-const WHOLE_TO_ALL: u64 = 4;
+const WHOLE_TO_ALL_EVERY: u64 = 4;
 
 /// Tells peers until the process ends.
-pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, known: Rc<RefCell<Known>>) {
-    let mut teller = Teller {
+pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, peer_table: Rc<RefCell<PeerTable>>) {
+    let mut broadcaster = Broadcaster {
         core,
         socket,
-        known,
+        peer_table,
         sequence: 0,
-        wholes: 0,
+        wholes_sent: 0,
     };
     loop {
-        teller.tell_all().await;
+        broadcaster.send_whole().await;
         let whole_at = Instant::now() + WHOLE_INTERVAL;
-        sleep(INTERVAL_MIN).await;
-        while timeout_at(whole_at, teller.core.board_changed.notified())
+        sleep(SEND_INTERVAL_MIN).await;
+        while timeout_at(whole_at, broadcaster.core.board_changed.notified())
             .await
             .is_ok()
         {
-            if teller.core.whole_wanted.get() {
+            if broadcaster.core.whole_wanted.get() {
                 break;
             }
-            teller.tell_more().await;
-            sleep(INTERVAL_MIN).await;
+            broadcaster.send_short().await;
+            sleep(SEND_INTERVAL_MIN).await;
         }
     }
 }
 
 /// Tells peers.
-struct Teller {
+struct Broadcaster {
     core: Rc<Core>,
     socket: Rc<UdpSocket>,
-    known: Rc<RefCell<Known>>,
+    peer_table: Rc<RefCell<PeerTable>>,
     /// Number of the last message.
     sequence: u64,
     /// Whole messages so far.
-    wholes: u64,
+    wholes_sent: u64,
 }
 
-impl Teller {
+impl Broadcaster {
     /// Tells all that this gateway holds and knows.
-    async fn tell_all(&mut self) {
-        let next = self.next(true);
+    async fn send_whole(&mut self) {
+        let beacon = self.next_beacon(true);
         let core = &self.core;
-        core.fresh_held.take();
+        core.unreported_held.take();
         core.whole_wanted.set(false);
         let mut beacon = Beacon {
             is_whole: true,
-            configuration: knows(core, core.published.configuration_belief()),
-            endpoints: knows(core, core.published.endpoint_belief()),
+            configuration: store_knowledge(core, core.published.configuration_freshness()),
+            endpoints: store_knowledge(core, core.published.endpoint_freshness()),
             lengths: core.lengths.borrow().told(core.now_ms()),
-            gateways: sharing(core),
-            ..next
+            gateways: gateways_sharing(core),
+            ..beacon
         };
         let held = core.board.borrow().own();
         add_held(&mut beacon, &core.published.fleet(), held);
         // Silent ones hear from us about once a second.
-        let to_all = self.wholes.is_multiple_of(WHOLE_TO_ALL);
-        self.send(&shortened(beacon), to_all, Carried::WholeMessages)
+        let to_all = self.wholes_sent.is_multiple_of(WHOLE_TO_ALL_EVERY);
+        self.send(&encode_to_fit(beacon), to_all, TrafficKind::WholeMessages)
             .await;
-        self.wholes += 1;
+        self.wholes_sent += 1;
     }
 
     /// Tells what this gateway holds more since it was last told.
-    async fn tell_more(&mut self) {
-        let mut beacon = self.next(false);
-        let held = self.core.fresh_held.take();
+    async fn send_short(&mut self) {
+        let mut beacon = self.next_beacon(false);
+        let held = self.core.unreported_held.take();
         add_held(&mut beacon, &self.core.published.fleet(), held);
-        self.send(&shortened(beacon), false, Carried::ShortMessages)
+        self.send(&encode_to_fit(beacon), false, TrafficKind::ShortMessages)
             .await;
     }
 
     /// A message with what each of them has, whole ones and others.
-    fn next(&mut self, is_whole: bool) -> Beacon {
+    fn next_beacon(&mut self, is_whole: bool) -> Beacon {
         let core = &self.core;
         self.sequence += 1;
         let mut beacon = Beacon {
@@ -124,8 +124,8 @@
         };
         let fleet = core.published.fleet();
         beacon.refusals = refusals(core, &fleet, is_whole);
-        for read in core.fresh_reads.take() {
-            if let Some(endpoint) = hash_of(&fleet, read.endpoint) {
+        for read in core.unreported_reads.take() {
+            if let Some(endpoint) = endpoint_hash(&fleet, read.endpoint) {
                 beacon.reads.push(ReadAt {
                     endpoint,
                     read_ms: read.read_ms.round() as u16,
@@ -136,10 +136,13 @@
         beacon
     }
 
-    async fn send(&self, message: &[u8], to_all: bool, carried: Carried) {
+    async fn send(&self, message: &[u8], to_all: bool, kind: TrafficKind) {
         let core = &self.core;
-        let addresses = self.known.borrow().addresses(core, core.now_ms(), to_all);
-        send_to(core, &self.socket, message, &addresses, carried).await;
+        let addresses = self
+            .peer_table
+            .borrow()
+            .recipients(core, core.now_ms(), to_all);
+        send_to(core, &self.socket, message, &addresses, kind).await;
     }
 }
 
@@ -152,7 +155,7 @@
         .take_told(is_all, now_ms, confirmed_ms);
     let refused_at = |(key, age_ms): (EndpointKey, u64)| {
         Some(RefusedAt {
-            endpoint: hash_of(fleet, key)?,
+            endpoint: endpoint_hash(fleet, key)?,
             age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
         })
     };
@@ -165,9 +168,9 @@
     socket: &UdpSocket,
     message: &[u8],
     peers: &[SocketAddr],
-    carried: Carried,
+    kind: TrafficKind,
 ) {
-    core.traffic.add(carried, message.len() * peers.len());
+    core.traffic.add(kind, message.len() * peers.len());
     for peer in peers {
         if let Err(error) = socket.send_to(message, peer).await {
             core.metrics.peer_faults.inc();
@@ -178,7 +181,7 @@
 
 fn add_held(beacon: &mut Beacon, fleet: &Fleet, held: Vec<(EndpointKey, Held)>) {
     for (key, held) in held {
-        if let Some(endpoint) = hash_of(fleet, key) {
+        if let Some(endpoint) = endpoint_hash(fleet, key) {
             beacon.held.push(HeldAt { endpoint, held });
         }
     }
@@ -191,7 +194,7 @@
 }
 
 /// A message that fits a datagram.
-fn shortened(mut beacon: Beacon) -> Vec<u8> {
+fn encode_to_fit(mut beacon: Beacon) -> Vec<u8> {
     loop {
         let message = Message::Beacon(Box::new(beacon));
         let encoded = encode(&message);
@@ -203,25 +206,25 @@
             return encoded;
         }
         // The endpoints named last are left out; peers see them as less loaded for a moment.
-        let fewer = beacon.held.len() * 3 / 4;
-        beacon.held.truncate(fewer);
-        beacon.reads.truncate(fewer.max(1));
+        let kept = beacon.held.len() * 3 / 4;
+        beacon.held.truncate(kept);
+        beacon.reads.truncate(kept.max(1));
     }
 }
 
-fn sharing(core: &Core) -> Option<u32> {
+fn gateways_sharing(core: &Core) -> Option<u32> {
     u32::try_from(core.gateways_sharing()?).ok()
 }
 
-fn knows(core: &Core, belief: &Belief) -> Option<Knows> {
-    let age_ms = belief.age_ms(core.now_whole_ms())?;
+fn store_knowledge(core: &Core, freshness: &Freshness) -> Option<Knows> {
+    let age_ms = freshness.age_ms(core.now_whole_ms())?;
     Some(Knows {
-        content: belief.content(),
+        content: freshness.content_id(),
         age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
     })
 }
 
-fn hash_of(fleet: &Fleet, key: EndpointKey) -> Option<u64> {
+fn endpoint_hash(fleet: &Fleet, key: EndpointKey) -> Option<u64> {
     let endpoint = fleet.by_key.get(&key)?;
     Some(endpoint.facts.incarnation.hash_64())
 }
--- a/crates/mgs-relay/src/budget.rs
+++ b/crates/mgs-relay/src/budget.rs
@@ -2,7 +2,7 @@
 //!
 //! All gateways together may send again a share of a service's requests plus a fixed number in each
 //! window. Each takes the share of its own requests, and an equal part of the fixed number by the gateways
-//! that it knows of ([`crate::headcount`]): neither one that is cut off nor one that has just started must
+//! that it knows of ([`crate::gateway_count`]): neither one that is cut off nor one that has just started must
 //! take all of it.
 
 use std::collections::HashMap;
--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -26,7 +26,7 @@
 use crate::crash::Looks;
 use crate::dialect::Dialect;
 use crate::drain::Drain;
-use crate::headcount::Headcount;
+use crate::gateway_count::GatewayCount;
 use crate::helpers::Helpers;
 use crate::helpers::Reason;
 use crate::metrics::Metrics;
@@ -41,7 +41,7 @@
 
 /// Reading placed here that peers haven't been told of.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct FreshRead {
+pub(crate) struct UnreportedRead {
     pub(crate) endpoint: EndpointKey,
     pub(crate) read_ms: f64,
     pub(crate) reads: Reads,
@@ -53,9 +53,9 @@
     pub(crate) dialect: Box<dyn Dialect>,
     pub(crate) published: Arc<Published>,
     pub(crate) board: RefCell<Board>,
-    pub(crate) fresh_reads: RefCell<Vec<FreshRead>>,
+    pub(crate) unreported_reads: RefCell<Vec<UnreportedRead>>,
     /// What this gateway holds more since peers were last told.
-    pub(crate) fresh_held: RefCell<Vec<(EndpointKey, Held)>>,
+    pub(crate) unreported_held: RefCell<Vec<(EndpointKey, Held)>>,
     /// Whether peers are to be told all that this gateway holds at once.
     pub(crate) whole_wanted: Cell<bool>,
     /// Wakes the one who tells peers: something was placed, or the line has changed.
@@ -79,10 +79,10 @@
     pub(crate) metrics: Metrics,
     pub(crate) traffic: Traffic,
     pub(crate) drain: Drain,
-    pub(crate) headcount: RefCell<Headcount>,
+    pub(crate) gateway_count: RefCell<GatewayCount>,
     pub(crate) random: RefCell<ChaCha8Rng>,
     /// Last number given to something of this process.
-    pub(crate) last_number: Cell<u64>,
+    pub(crate) last_id: Cell<u64>,
     /// Availability zone of this gateway, as peers are told it.
     pub(crate) zone: ZoneKey,
     /// This process, among its predecessors and peers.
@@ -124,10 +124,10 @@
     }
 
     /// A number that nothing else of this process has.
-    pub(crate) fn next_number(&self) -> u64 {
-        let number = self.last_number.get() + 1;
-        self.last_number.set(number);
-        number
+    pub(crate) fn next_id(&self) -> u64 {
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
+        id
     }
 
     /// A number from 0 up to `below`.
@@ -139,7 +139,7 @@
     }
 
     /// A number from 0 up to 1.
-    pub(crate) fn draw(&self) -> f64 {
+    pub(crate) fn random_unit(&self) -> f64 {
         f64::from(self.random.borrow_mut().next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
@@ -147,7 +147,7 @@
     pub(crate) fn place_read(&self, endpoint: EndpointKey, read_ms: f64, reads: Reads) {
         let now_ms = self.now_ms();
         self.board.borrow_mut().read(endpoint, now_ms, read_ms);
-        self.fresh_reads.borrow_mut().push(FreshRead {
+        self.unreported_reads.borrow_mut().push(UnreportedRead {
             endpoint,
             read_ms,
             reads,
@@ -161,7 +161,7 @@
     }
 
     /// Endpoints are free again for whom peers may wait.
-    pub(crate) fn tell_freed(&self) {
+    pub(crate) fn announce_freed(&self) {
         self.whole_wanted.set(true);
         self.board_changed.notify_one();
     }
@@ -182,19 +182,19 @@
 
     /// How many gateways share what all may spend, if that is known.
     pub(crate) fn gateways_sharing(&self) -> Option<usize> {
-        let mut headcount = self.headcount.borrow_mut();
+        let mut gateway_count = self.gateway_count.borrow_mut();
         if let Some(listed) = self.published.listed_gateways() {
-            headcount.listed(listed);
+            gateway_count.set_listed(listed);
         }
-        headcount.sharing()
+        gateway_count.gateways_sharing()
     }
 
     /// Takes one second try of the budget.
-    pub(crate) fn may_try_again(&self, service: &str) -> bool {
+    pub(crate) fn take_retry(&self, service: &str) -> bool {
         let now_ms = self.now_ms();
         let gateways = self.gateways_sharing();
-        let live = self.published.live();
+        let live_settings = self.published.live_settings();
         let mut budget = self.budget.borrow_mut();
-        budget.again(&live.budget, service, now_ms, gateways)
+        budget.again(&live_settings.budget, service, now_ms, gateways)
     }
 }
--- a/crates/mgs-relay/src/spread.rs
+++ b/crates/mgs-relay/src/crash_gossip.rs
@@ -15,95 +15,97 @@
 use tokio::time::timeout;
 use tokio::time::Instant;
 
+use crate::broadcast::encode;
+use crate::broadcast::send_to;
+use crate::broadcast::MESSAGE_BYTES_MAX;
 use crate::core::Core;
-use crate::peers::Known;
 use crate::peers::Message;
-use crate::tell::encode;
-use crate::tell::send_to;
-use crate::tell::MESSAGE_BYTES_MAX;
-use crate::traffic::Carried;
+use crate::peers::PeerTable;
+use crate::traffic::TrafficKind;
 
 /// Longest wait before what isn't urgent is told, and between what is urgent and its repetition.
-const INTERVAL: Duration = Duration::from_millis(250);
+const REPEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time between two peers that are told all that is grave.
-const GOSSIP: Duration = Duration::from_secs(1);
+const RANDOM_PEER_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Tells peers until the process ends.
-pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, known: Rc<RefCell<Known>>) {
+pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, peer_table: Rc<RefCell<PeerTable>>) {
     let mut repeated: Vec<WorkKey> = Vec::new();
-    let mut gossip_at = Instant::now() + GOSSIP;
-    let spread = Spread {
+    let mut random_peer_at = Instant::now() + RANDOM_PEER_INTERVAL;
+    let gossip = CrashGossip {
         core,
         socket,
-        known,
+        peer_table,
     };
     loop {
-        let waiting = spread.core.crashes.urgent.notified();
+        let waiting = gossip.core.crashes.urgent.notified();
         // Whether something is urgent or time is up, what is new is told.
-        let is_urgent = timeout(INTERVAL, waiting).await.is_ok();
-        spread.welcome().await;
-        let fresh = spread.core.crashes.take_fresh();
-        spread.tell_all(&fresh).await;
+        let is_urgent = timeout(REPEAT_INTERVAL, waiting).await.is_ok();
+        gossip.send_to_newcomers().await;
+        let changed = gossip.core.crashes.take_fresh();
+        gossip.send_to_all(&changed).await;
         if !is_urgent {
-            spread.tell_all(&repeated).await;
+            gossip.send_to_all(&repeated).await;
             repeated.clear();
         }
-        repeated.extend(fresh);
-        if Instant::now() >= gossip_at {
-            gossip_at = Instant::now() + GOSSIP;
-            spread.gossip().await;
+        repeated.extend(changed);
+        if Instant::now() >= random_peer_at {
+            random_peer_at = Instant::now() + RANDOM_PEER_INTERVAL;
+            gossip.send_to_random_peer().await;
         }
     }
 }
 
-struct Spread {
+struct CrashGossip {
     core: Rc<Core>,
     socket: Rc<UdpSocket>,
-    known: Rc<RefCell<Known>>,
+    peer_table: Rc<RefCell<PeerTable>>,
 }
 
-impl Spread {
-    fn everybody(&self) -> Vec<SocketAddr> {
+impl CrashGossip {
+    fn all_peers(&self) -> Vec<SocketAddr> {
         let now_ms = self.core.now_ms();
-        self.known.borrow().addresses(&self.core, now_ms, true)
+        self.peer_table
+            .borrow()
+            .recipients(&self.core, now_ms, true)
     }
 
-    async fn tell_all(&self, works: &[WorkKey]) {
+    async fn send_to_all(&self, works: &[WorkKey]) {
         if !works.is_empty() {
-            self.tell(works, &self.everybody()).await;
+            self.send(works, &self.all_peers()).await;
         }
     }
 
     /// Tells peers that have just started, or were cut off, all that is grave.
-    async fn welcome(&self) {
+    async fn send_to_newcomers(&self) {
         let newcomers = self.core.crashes.newcomers.take();
         if !newcomers.is_empty() {
-            self.tell(&self.core.crashes.grave(), &newcomers).await;
+            self.send(&self.core.crashes.grave(), &newcomers).await;
         }
     }
 
-    async fn gossip(&self) {
+    async fn send_to_random_peer(&self) {
         let grave = self.core.crashes.grave();
-        let everybody = self.everybody();
-        if grave.is_empty() || everybody.is_empty() {
+        let all_peers = self.all_peers();
+        if grave.is_empty() || all_peers.is_empty() {
             return;
         }
-        let drawn = self.core.random_below(everybody.len() as u32) as usize;
-        self.tell(&grave, &everybody[drawn..=drawn]).await;
+        let index = self.core.random_below(all_peers.len() as u32) as usize;
+        self.send(&grave, &all_peers[index..=index]).await;
     }
 
-    async fn tell(&self, works: &[WorkKey], peers: &[SocketAddr]) {
+    async fn send(&self, works: &[WorkKey], peers: &[SocketAddr]) {
         let told = self.core.crashes.told(works, self.core.now_ms());
-        for message in messages(self.core.incarnation, told) {
-            let carried = Carried::CrashMessages;
-            send_to(&self.core, &self.socket, &message, peers, carried).await;
+        for message in split_into_messages(self.core.incarnation, told) {
+            let kind = TrafficKind::CrashMessages;
+            send_to(&self.core, &self.socket, &message, peers, kind).await;
         }
     }
 }
 
 /// Messages that fit a datagram each.
-fn messages(from: u64, works: Vec<Told>) -> Vec<Vec<u8>> {
+fn split_into_messages(from: u64, works: Vec<Told>) -> Vec<Vec<u8>> {
     let mut messages = Vec::new();
     let mut rest = works;
     while !rest.is_empty() {
--- a/crates/mgs-relay/src/shown.rs
+++ b/crates/mgs-relay/src/dispatch_outcome.rs
@@ -13,7 +13,7 @@
 
 impl Pursuit {
     /// Remembers what the dispatch shows of its endpoint, and says so.
-    pub(crate) fn note(&self, placed: &Placed, ended: &Ended, took_ms: u64) {
+    pub(crate) fn record_outcome(&self, placed: &Placed, ended: &Ended, took_ms: u64) {
         let core = &self.core;
         let now_ms = core.now_whole_ms();
         let key = placed.endpoint.key;
@@ -59,7 +59,7 @@
                 helper,
                 is_reserved,
             } => {
-                self.note_refusal(helper, *is_reserved, took_ms);
+                self.record_help_refusal(helper, *is_reserved, took_ms);
                 HELPER_REFUSED
             }
             Ended::Unknown { .. } => {
@@ -117,7 +117,7 @@
 
     /// An endpoint refused to help: the next prompts leave it out, here and at the other gateways. What it answers to
     /// its own requests isn't touched by that, unless it is dead.
-    fn note_refusal(&self, helper: &Endpoint, is_reserved: bool, took_ms: u64) {
+    fn record_help_refusal(&self, helper: &Endpoint, is_reserved: bool, took_ms: u64) {
         let core = &self.core;
         let reason = core.help_refused(helper, is_reserved);
         if took_ms >= STALLED_MS {
--- a/crates/mgs-relay/src/follow.rs
+++ b/crates/mgs-relay/src/follow.rs
@@ -22,9 +22,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::bad_rows::BadRows;
-use crate::belief::Belief;
 use crate::calls::Calls;
 use crate::calls::Reason;
+use crate::freshness::Freshness;
 use crate::gather;
 use crate::gather::Pause;
 use crate::help;
@@ -49,7 +49,7 @@
     /// Where this gateway hears peers.
     pub peer_address: SocketAddr,
     /// Peers known from the settings; some may be gone.
-    pub first_peers: Vec<SocketAddr>,
+    pub seed_peers: Vec<SocketAddr>,
     /// Longest wait of the store for a change of configuration or endpoints, in milliseconds, where this
     /// gateway is a reader or hears nothing fresh from one. An answer each time shows that the connection
     /// lives. What is confirmed is the moment at which a call began, so what readers know is at most twice
@@ -75,13 +75,13 @@
     pub long_retry_ms: u64,
     /// How long the first reading may take before peers are asked, in milliseconds: a slow store takes some
     /// hundred, and without a configuration nobody is served.
-    pub start_patience_ms: u64,
+    pub bootstrap_delay_ms: u64,
     /// Time over which gateways spread their readings of all that there is, where many would read at once, in
     /// milliseconds.
-    pub spread_ms: u64,
+    pub reread_jitter_ms: u64,
     /// How long after an outage endpoints that aren't listed any more are still used, in milliseconds:
     /// their entries may have lapsed in the outage, and those that live are back within two seconds.
-    pub lapse_grace_ms: u64,
+    pub expiry_grace_ms: u64,
 }
 
 impl Default for Options {
@@ -89,7 +89,7 @@
         Self {
             name: String::new(),
             peer_address: SocketAddr::from(([127, 0, 0, 1], 0)),
-            first_peers: Vec::new(),
+            seed_peers: Vec::new(),
             wait_ms: 1_500,
             long_wait_ms: 15_000,
             gateways_wait_ms: 20_000,
@@ -98,9 +98,9 @@
             gather_all_from: 25,
             retry_ms: 500,
             long_retry_ms: 2_000,
-            start_patience_ms: 400,
-            spread_ms: 500,
-            lapse_grace_ms: 2_200,
+            bootstrap_delay_ms: 400,
+            reread_jitter_ms: 500,
+            expiry_grace_ms: 2_200,
         }
     }
 }
@@ -118,7 +118,7 @@
         .build()?;
     let body = move || {
         let local = LocalSet::new();
-        let endpoints = Endpoints::new(options.lapse_grace_ms);
+        let endpoints = Endpoints::new(options.expiry_grace_ms);
         let endpoints = Rc::new(RefCell::new(endpoints));
         local.spawn_local(help::run(
             options.clone(),
@@ -136,7 +136,7 @@
                 tallies,
             )
         };
-        local.spawn_local(keep_holds(
+        local.spawn_local(write_holds(
             options.clone(),
             published.clone(),
             Calls::new(Topic::Gateways, tallies.store_calls.clone()),
@@ -153,9 +153,9 @@
 
 /// Lists this gateway, unless it is listed from an earlier life, and follows the others.
 async fn follow_gateways(mut follower: Follower, mut source: Box<dyn Source>) {
-    let first_peers = follower.options.first_peers.clone();
-    follower.published.put_peers(first_peers);
-    while let Err(error) = follower.join(source.as_mut()).await {
+    let seed_peers = follower.options.seed_peers.clone();
+    follower.published.put_peers(seed_peers);
+    while let Err(error) = follower.register_if_unlisted(source.as_mut()).await {
         log::warn!(error:% = error; "this gateway can't be listed");
         sleep(Duration::from_millis(follower.options.retry_ms)).await;
     }
@@ -166,16 +166,16 @@
     loop {
         let start_ms = follower.published.now_ms();
         let pause = match follower.read(source.as_mut()).await {
-            Some(read) => follower.take(read, start_ms),
-            None => follower.doubt(),
+            Some(read) => follower.handle_read(read, start_ms),
+            None => follower.note_aborted_wait(),
         };
         follower.pause(pause).await;
-        follower.list_again(source.as_mut()).await;
+        follower.register_again(source.as_mut()).await;
     }
 }
 
 /// Writes to the store what is held, until the process ends; what can't be written now is written when the store is back.
-async fn keep_holds(
+async fn write_holds(
     options: Options,
     published: Arc<Published>,
     calls: Calls,
@@ -202,7 +202,7 @@
 }
 
 /// Whether a batch tells of endpoints that are gone.
-fn has_gone(batch: &Batch) -> bool {
+fn has_removed_endpoints(batch: &Batch) -> bool {
     let is_gone = |update: &Update| matches!(update, Update::EndpointGone { .. });
     batch.updates.iter().any(is_gone)
 }
@@ -219,14 +219,14 @@
     /// When all is to be read again, in milliseconds: what an older copy listed has lapsed by then, or lives.
     read_all_at_ms: Option<u64>,
     /// Whether this gateway isn't listed any more and has to list itself again.
-    is_unlisted: bool,
+    needs_registration: bool,
     /// Since when the store can't be read for it, in milliseconds.
-    lost_since_ms: Option<u64>,
+    store_lost_since_ms: Option<u64>,
     /// Whether a peer knows better than the call that waited.
-    is_doubtful: bool,
+    wait_was_aborted: bool,
     endpoints: Rc<RefCell<Endpoints>>,
     gateways: HashMap<String, SocketAddr>,
-    rows: BadRows,
+    bad_rows: BadRows,
     rollbacks: Counters,
     calls: Calls,
 }
@@ -246,28 +246,28 @@
             revision: None,
             era: None,
             read_all_at_ms: None,
-            is_unlisted: false,
-            lost_since_ms: None,
-            is_doubtful: false,
+            needs_registration: false,
+            store_lost_since_ms: None,
+            wait_was_aborted: false,
             endpoints,
             gateways: HashMap::new(),
-            rows: BadRows::new(tallies.bad_rows),
+            bad_rows: BadRows::new(tallies.bad_rows),
             rollbacks: tallies.store_rollbacks,
             calls: Calls::new(topic, tallies.store_calls),
         }
     }
 
     /// How fresh the topic is; gateways tell of themselves.
-    fn belief(&self) -> Option<&Belief> {
+    fn freshness(&self) -> Option<&Freshness> {
         match self.topic {
-            Topic::Configuration => Some(self.published.configuration_belief()),
-            Topic::Endpoints => Some(self.published.endpoint_belief()),
+            Topic::Configuration => Some(self.published.configuration_freshness()),
+            Topic::Endpoints => Some(self.published.endpoint_freshness()),
             Topic::Gateways => None,
         }
     }
 
     /// Reads the gateways, and adds this one if it isn't listed where it is.
-    async fn join(&mut self, source: &mut dyn Source) -> Result<(), SourceError> {
+    async fn register_if_unlisted(&mut self, source: &mut dyn Source) -> Result<(), SourceError> {
         let start_ms = self.published.now_ms();
         self.calls.count(Reason::Whole);
         let batch = source.read_all(self.topic).await?;
@@ -299,45 +299,45 @@
             (_, true) => Reason::LongWait,
         });
         let reading = source.read_changes(self.topic, after, wait_ms);
-        match self.belief().filter(|_| is_long) {
+        match self.freshness().filter(|_| is_long) {
             None => Some(reading.await),
-            Some(belief) => tokio::select! {
+            Some(freshness) => tokio::select! {
                 read = reading => Some(read),
-                () = self.doubted(belief) => None,
+                () = self.until_outdated(freshness) => None,
             },
         }
     }
 
     /// Comes back when a call that waits long isn't to be trusted.
-    async fn doubted(&self, belief: &Belief) {
+    async fn until_outdated(&self, freshness: &Freshness) {
         loop {
-            belief.news().await;
-            if self.is_stale(belief) {
+            freshness.notified().await;
+            if self.is_stale(freshness) {
                 return;
             }
             // What a peer has just read is on its way here too, unless this call is dead.
             sleep(Duration::from_millis(self.options.gather_ms)).await;
-            if belief.doubts() {
+            if freshness.should_abort_wait() {
                 return;
             }
         }
     }
 
-    fn is_stale(&self, belief: &Belief) -> bool {
-        belief.is_stale(self.published.now_ms())
+    fn is_stale(&self, freshness: &Freshness) -> bool {
+        freshness.is_stale(self.published.now_ms())
     }
 
     fn wait_ms(&mut self) -> u64 {
-        let is_doubtful = std::mem::take(&mut self.is_doubtful);
-        if self.lost_since_ms.is_some() {
+        let wait_was_aborted = std::mem::take(&mut self.wait_was_aborted);
+        if self.store_lost_since_ms.is_some() {
             // The end of an outage is to be known when it comes, not with the next change.
             return 0;
         }
-        let Some(belief) = self.belief() else {
+        let Some(freshness) = self.freshness() else {
             return self.options.gateways_wait_ms;
         };
-        if is_doubtful || self.is_stale(belief) {
-            // What has happened until now is to be told apart from what happens next: see `found`.
+        if wait_was_aborted || self.is_stale(freshness) {
+            // What has happened until now is to be told apart from what happens next: see `note_store_answered`.
             return 0;
         }
         let longest_ms = match self.published.is_reader() {
@@ -349,54 +349,54 @@
             Topic::Endpoints => {
                 let due_ms = self.read_all_at_ms.unwrap_or(u64::MAX);
                 let longest_ms = longest_ms.min(due_ms.saturating_sub(now_ms));
-                self.endpoints.borrow().wait_ms(longest_ms, now_ms)
+                self.endpoints.borrow().bounded_wait_ms(longest_ms, now_ms)
             }
             _ => longest_ms,
         }
     }
 
     /// A waiting call was given up.
-    fn doubt(&mut self) -> Pause {
+    fn note_aborted_wait(&mut self) -> Pause {
         let age_ms = self
-            .belief()
+            .freshness()
             .and_then(|b| b.age_ms(self.published.now_ms()));
         log::info!(
             topic = self.topic.name(), age_ms = age_ms.unwrap_or(u64::MAX);
             "a call to the store that waits isn't trusted"
         );
-        self.is_doubtful = true;
+        self.wait_was_aborted = true;
         Pause::None
     }
 
     /// Takes a reading.
-    fn take(&mut self, read: Result<Batch, SourceError>, start_ms: u64) -> Pause {
+    fn handle_read(&mut self, read: Result<Batch, SourceError>, start_ms: u64) -> Pause {
         match read {
             Ok(batch) => {
-                let pause = self.gathering(&batch);
-                self.found(has_gone(&batch));
+                let pause = self.pause_after(&batch);
+                self.note_store_answered(has_removed_endpoints(&batch));
                 self.apply(batch, start_ms);
                 pause
             }
-            Err(SourceError::EraOver { from, to }) => {
+            Err(SourceError::EraChanged { from, to }) => {
                 log::info!(topic = self.topic.name(), from = from, to = to; "the store is in another era");
                 self.revision = None;
                 Pause::Spread
             }
-            Err(SourceError::HistoryGone) => {
+            Err(SourceError::HistoryCompacted) => {
                 log::info!(topic = self.topic.name(); "the store has dropped its history");
-                self.found(true);
+                self.note_store_answered(true);
                 self.revision = None;
                 Pause::None
             }
             Err(error) => {
-                self.lost(&error);
+                self.note_store_lost(&error);
                 Pause::Retry
             }
         }
     }
 
     /// Whether to wait for more of what a batch tells.
-    fn gathering(&self, batch: &Batch) -> Pause {
+    fn pause_after(&self, batch: &Batch) -> Pause {
         match self.revision {
             None => Pause::None,
             Some(_) => gather::after(batch, self.is_one_of_many()),
@@ -409,71 +409,77 @@
         are_many && !self.published.is_reader()
     }
 
-    fn lost(&mut self, error: &SourceError) {
-        if self.lost_since_ms.is_some() {
+    fn note_store_lost(&mut self, error: &SourceError) {
+        if self.store_lost_since_ms.is_some() {
             return;
         }
         log::warn!(topic = self.topic.name(), error:% = error; "the store is lost");
         let now_ms = self.published.now_ms();
-        self.lost_since_ms = Some(now_ms);
-        if let Some(belief) = self.belief() {
-            belief.lose(now_ms);
+        self.store_lost_since_ms = Some(now_ms);
+        if let Some(freshness) = self.freshness() {
+            freshness.mark_store_lost(now_ms);
         }
     }
 
-    /// The store answers. `has_gone`: whether entries are gone, by this answer, or may be.
-    fn found(&mut self, has_gone: bool) {
+    /// The store answers. `has_removed_endpoints`: whether entries are gone, by this answer, or may be.
+    fn note_store_answered(&mut self, has_removed_endpoints: bool) {
         let now_ms = self.published.now_ms();
-        if self.lost_since_ms.is_some() {
+        if self.store_lost_since_ms.is_some() {
             log::info!(topic = self.topic.name(); "the store is back");
         }
         // An outage may also pass between two calls. But a belief grows old too when those who ask often are silent;
         // the first call after that waits for nothing, so what it doesn't tell of hasn't lapsed, and what goes
         // later has left. Taken for an outage each time, endpoints that had left were used for four seconds.
-        let unseen_since_ms = self.stale_since_ms(now_ms).filter(|_| has_gone);
-        if let Some(began_ms) = self.lost_since_ms.or(unseen_since_ms) {
-            self.endpoints.borrow_mut().outage_ended(began_ms, now_ms);
+        let unseen_since_ms = self
+            .stale_since_ms(now_ms)
+            .filter(|_| has_removed_endpoints);
+        if let Some(began_ms) = self.store_lost_since_ms.or(unseen_since_ms) {
+            self.endpoints
+                .borrow_mut()
+                .note_outage_end(began_ms, now_ms);
         }
-        if let Some(belief) = self.belief() {
-            belief.find();
+        if let Some(freshness) = self.freshness() {
+            freshness.mark_store_recovered();
         }
-        self.lost_since_ms = None;
+        self.store_lost_since_ms = None;
     }
 
     /// When what is known was last confirmed, if that is long ago; nothing is known before the first reading.
     fn stale_since_ms(&self, now_ms: u64) -> Option<u64> {
-        let belief = self.belief().filter(|belief| belief.is_stale(now_ms))?;
-        let age_ms = belief.age_ms(now_ms).unwrap_or(now_ms);
+        let freshness = self
+            .freshness()
+            .filter(|freshness| freshness.is_stale(now_ms))?;
+        let age_ms = freshness.age_ms(now_ms).unwrap_or(now_ms);
         self.revision.map(|_| now_ms.saturating_sub(age_ms))
     }
 
     /// Lists this gateway again, if the store has lost that.
-    async fn list_again(&mut self, source: &mut dyn Source) {
-        if !self.is_unlisted {
+    async fn register_again(&mut self, source: &mut dyn Source) {
+        if !self.needs_registration {
             return;
         }
         self.calls.count(Reason::Register);
         let own = self.options.peer_address;
         match source.register(&self.options.name, own).await {
-            Ok(()) => self.is_unlisted = false,
+            Ok(()) => self.needs_registration = false,
             Err(error) => log::warn!(error:% = error; "this gateway can't be listed again"),
         }
     }
 
     /// Time by which this gateway reads later than others where many would read all at once.
-    fn spread(&self) -> Duration {
+    fn jitter(&self) -> Duration {
         if !self.is_one_of_many() {
             return Duration::ZERO;
         }
-        let drawn = xxh3_64(self.options.name.as_bytes());
-        Duration::from_millis(drawn % self.options.spread_ms.max(1))
+        let name_hash = xxh3_64(self.options.name.as_bytes());
+        Duration::from_millis(name_hash % self.options.reread_jitter_ms.max(1))
     }
 
     async fn pause(&self, pause: Pause) {
         let options = &self.options;
         match pause {
             Pause::None => {}
-            Pause::Spread => sleep(self.spread()).await,
+            Pause::Spread => sleep(self.jitter()).await,
             Pause::Gather => sleep(Duration::from_millis(options.gather_ms)).await,
             Pause::GatherAll => sleep(Duration::from_millis(options.gather_all_ms)).await,
             Pause::Retry => {
@@ -482,13 +488,13 @@
                     return;
                 }
                 let more_ms = options.long_retry_ms.saturating_sub(options.retry_ms);
-                let Some(belief) = self.belief() else {
+                let Some(freshness) = self.freshness() else {
                     // Other gateways make themselves heard; nobody waits for their list.
                     sleep(Duration::from_millis(more_ms)).await;
                     return;
                 };
                 // Whether there is news or time is up is all the same.
-                let _ = timeout(Duration::from_millis(more_ms), belief.news()).await;
+                let _ = timeout(Duration::from_millis(more_ms), freshness.notified()).await;
             }
         }
     }
--- a/crates/mgs-relay/src/follow/apply.rs
+++ b/crates/mgs-relay/src/follow/apply.rs
@@ -10,7 +10,7 @@
 use crate::holds::News;
 use crate::membership::Endpoints;
 use crate::membership::Origin;
-use crate::membership::LAPSE_MS;
+use crate::membership::ENTRY_EXPIRY_MS;
 use crate::source::Batch;
 use crate::source::Revision;
 use crate::source::Topic;
@@ -21,28 +21,28 @@
     /// Takes a reading that was begun at `start_ms`.
     pub(super) fn apply(&mut self, batch: Batch, start_ms: u64) {
         for update in &batch.updates {
-            self.note_row(update);
+            self.track_bad_row(update);
         }
         let is_whole = self.revision.is_none();
         self.revision = Some(batch.revision);
-        let has_rolled_back = self.note_era(batch.revision);
+        let has_rolled_back = self.update_era(batch.revision);
         match self.topic {
             Topic::Configuration => self.apply_configuration(batch.updates, start_ms),
             Topic::Endpoints => {
                 if has_rolled_back {
                     let now_ms = self.published.now_ms();
-                    self.endpoints.borrow_mut().rolled_back(now_ms);
-                    self.read_all_at_ms = Some(now_ms + LAPSE_MS);
+                    self.endpoints.borrow_mut().note_rollback(now_ms);
+                    self.read_all_at_ms = Some(now_ms + ENTRY_EXPIRY_MS);
                 }
                 self.apply_endpoints(batch.updates, is_whole, start_ms);
             }
-            Topic::Gateways if has_rolled_back => self.recover_gateways(batch.updates),
+            Topic::Gateways if has_rolled_back => self.apply_rolled_back_gateways(batch.updates),
             Topic::Gateways => self.apply_gateways(batch.updates, is_whole),
         }
     }
 
     /// Takes note of the era of a reading; answers whether the store has come back from an older copy since the last one.
-    fn note_era(&mut self, revision: Revision) -> bool {
+    fn update_era(&mut self, revision: Revision) -> bool {
         let before = self.era.replace(revision.era);
         let Some(before) = before.filter(|before| *before < revision.era) else {
             return false;
@@ -57,20 +57,20 @@
 
     /// Takes the list of gateways of an older copy: those that it lacks list themselves again, and so does this one.
     /// What is held is written again too.
-    fn recover_gateways(&mut self, updates: Vec<Update>) {
+    fn apply_rolled_back_gateways(&mut self, updates: Vec<Update>) {
         let is_own = |update: &Update| match update {
             Update::Gateway { name, address } => {
                 *name == self.options.name && *address == self.options.peer_address
             }
             _ => false,
         };
-        self.is_unlisted = !updates.iter().any(is_own);
+        self.needs_registration = !updates.iter().any(is_own);
         self.apply_gateways(updates, false);
         self.published.holds().want_rewrite();
     }
 
     /// Says what rows can't be understood, and which of them can again.
-    fn note_row(&mut self, update: &Update) {
+    fn track_bad_row(&mut self, update: &Update) {
         match update {
             Update::Unreadable {
                 key,
@@ -84,15 +84,15 @@
                     detail,
                     revision: *revision,
                 };
-                self.rows.note(self.topic, &row);
+                self.bad_rows.report(self.topic, &row);
             }
             Update::Gateway { name, .. } | Update::GatewayGone { name } => {
-                self.rows.clear(self.topic, name);
+                self.bad_rows.clear(self.topic, name);
             }
             Update::Held(Told { key, .. }) | Update::LetGo(key) => {
-                self.rows.clear(self.topic, &key.to_string());
+                self.bad_rows.clear(self.topic, &key.to_string());
             }
-            Update::Configuration(_) => self.rows.clear_all(self.topic),
+            Update::Configuration(_) => self.bad_rows.clear_all(self.topic),
             // Whether an endpoint's entry is taken shows when it is.
             Update::Endpoint(_) | Update::EndpointGone { .. } => {}
         }
@@ -109,14 +109,14 @@
             let is_newer = self.published.put_configuration(*configuration);
             log::info!(version = version, routes = routes, in_force = is_newer; "configuration read");
             if is_newer {
-                self.tell_engines(before.as_deref());
+                self.log_engines(before.as_deref());
             }
         }
-        self.published.configuration_belief().confirm(start_ms);
+        self.published.configuration_freshness().confirm(start_ms);
     }
 
     /// Tells what operators declare of engines, where that differs from what they declared before.
-    fn tell_engines(&self, before: Option<&Configuration>) {
+    fn log_engines(&self, before: Option<&Configuration>) {
         let Some(configuration) = self.published.configuration() else {
             return;
         };
@@ -149,10 +149,10 @@
         let now_ms = self.published.now_ms();
         let mut endpoints = self.endpoints.borrow_mut();
         let origin = match is_whole {
-            true => Origin::Listed,
-            false => Origin::Written,
+            true => Origin::Snapshot,
+            false => Origin::Change,
         };
-        let listed = is_whole.then(|| Endpoints::listed(&updates));
+        let listed = is_whole.then(|| Endpoints::listed_ids(&updates));
         let configuration = self.published.configuration();
         for update in updates {
             match update {
@@ -160,31 +160,33 @@
                     let id = facts.incarnation.id.clone();
                     // Without a configuration nobody knows which services there are.
                     let names = |c: &Arc<Configuration>| c.services.contains_key(&facts.service);
-                    let is_named = configuration.as_ref().is_none_or(names);
-                    match endpoints.hear(facts, is_named, origin, now_ms) {
-                        Ok(()) => self.rows.clear(self.topic, &id),
-                        Err(fault) => self.rows.note(self.topic, &BadRow::of(&id, fault)),
+                    let is_service_known = configuration.as_ref().is_none_or(names);
+                    match endpoints.apply(facts, is_service_known, origin, now_ms) {
+                        Ok(()) => self.bad_rows.clear(self.topic, &id),
+                        Err(fault) => self
+                            .bad_rows
+                            .report(self.topic, &BadRow::without_detail(&id, fault)),
                     }
                 }
                 Update::EndpointGone { id } => {
-                    self.rows.clear(self.topic, &id);
-                    endpoints.miss(&id, now_ms);
+                    self.bad_rows.clear(self.topic, &id);
+                    endpoints.mark_missing(&id, now_ms);
                 }
-                Update::Unreadable { key, .. } => endpoints.hide(&key),
+                Update::Unreadable { key, .. } => endpoints.mark_unreadable(&key),
                 _ => {}
             }
         }
         // After the others: what is missing now may still end an older life at its address.
         if let Some(listed) = listed {
-            endpoints.miss_all(&listed, now_ms);
+            endpoints.mark_missing_except(&listed, now_ms);
         }
         endpoints.drop_missing(now_ms);
-        let belief = self.published.endpoint_belief();
-        belief.put(endpoints.content());
+        let freshness = self.published.endpoint_freshness();
+        freshness.set_content_id(endpoints.content_hash());
         if endpoints.take_changed() || is_whole {
             self.published.put_fleet(endpoints.fleet());
         }
-        belief.confirm(start_ms);
+        freshness.confirm(start_ms);
     }
 
     fn apply_gateways(&mut self, updates: Vec<Update>, is_whole: bool) {
@@ -208,7 +210,7 @@
         self.published.holds().say(news);
         let own = self.options.peer_address;
         let mut peers: Vec<SocketAddr> = self.gateways.values().copied().collect();
-        peers.extend(&self.options.first_peers);
+        peers.extend(&self.options.seed_peers);
         peers.retain(|address| *address != own);
         peers.sort();
         peers.dedup();
--- a/crates/mgs-relay/src/belief.rs
+++ b/crates/mgs-relay/src/freshness.rs
@@ -23,9 +23,9 @@
 
 /// What a peer knows of a topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Word {
+pub struct PeerReport {
     /// Names the content: a version, or a hash.
-    pub content: u64,
+    pub content_id: u64,
     /// When the store confirmed it, on this process's clock, in milliseconds.
     pub confirmed_ms: u64,
     /// Who said so.
@@ -34,7 +34,7 @@
 
 /// Whether contents have an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Contents {
+pub enum ContentKind {
     /// Versions: the greater one is newer, whoever confirmed it when.
     Versions,
     /// Hashes: the one confirmed later is newer.
@@ -43,53 +43,53 @@
 
 /// What is known of one topic, without the content itself.
 #[derive(Debug)]
-pub struct Belief {
-    contents: Contents,
-    content: AtomicU64,
+pub struct Freshness {
+    content_kind: ContentKind,
+    content_id: AtomicU64,
     confirmed_ms: AtomicU64,
-    lost_ms: AtomicU64,
+    store_lost_ms: AtomicU64,
     /// The word last confirmed among those heard.
-    heard: ArcSwapOption<Word>,
+    latest_report: ArcSwapOption<PeerReport>,
     /// The content for which a waiting call was last given up.
-    given_up_for: AtomicU64,
-    news: Notify,
+    aborted_for: AtomicU64,
+    notify: Notify,
 }
 
-impl Belief {
+impl Freshness {
     /// Nothing is known.
-    pub fn new(contents: Contents) -> Self {
+    pub fn new(content_kind: ContentKind) -> Self {
         Self {
-            contents,
-            content: AtomicU64::new(0),
+            content_kind,
+            content_id: AtomicU64::new(0),
             confirmed_ms: AtomicU64::new(NEVER_MS),
-            lost_ms: AtomicU64::new(NEVER_MS),
-            heard: ArcSwapOption::empty(),
-            given_up_for: AtomicU64::new(0),
-            news: Notify::new(),
+            store_lost_ms: AtomicU64::new(NEVER_MS),
+            latest_report: ArcSwapOption::empty(),
+            aborted_for: AtomicU64::new(0),
+            notify: Notify::new(),
         }
     }
 
     /// Names what is known.
-    pub fn content(&self) -> u64 {
-        self.content.load(Ordering::Relaxed)
+    pub fn content_id(&self) -> u64 {
+        self.content_id.load(Ordering::Relaxed)
     }
 
     /// Something else is known now.
-    pub fn put(&self, content: u64) {
-        self.content.store(content, Ordering::Relaxed);
+    pub fn set_content_id(&self, content_id: u64) {
+        self.content_id.store(content_id, Ordering::Relaxed);
     }
 
     /// The store has confirmed what is known, as of `at_ms`; never goes back.
     ///
     /// ```
-    /// use mgs_relay::belief::Belief;
-    /// use mgs_relay::belief::Contents;
+    /// use mgs_relay::freshness::Freshness;
+    /// use mgs_relay::freshness::ContentKind;
     ///
-    /// let belief = Belief::new(Contents::Versions);
-    /// assert_eq!(belief.age_ms(500), None);
-    /// belief.confirm(400);
-    /// belief.confirm(300);
-    /// assert_eq!(belief.age_ms(500), Some(100));
+    /// let freshness = Freshness::new(ContentKind::Versions);
+    /// assert_eq!(freshness.age_ms(500), None);
+    /// freshness.confirm(400);
+    /// freshness.confirm(300);
+    /// assert_eq!(freshness.age_ms(500), Some(100));
     /// ```
     pub fn confirm(&self, at_ms: u64) {
         self.confirmed_ms.fetch_max(at_ms.max(1), Ordering::Relaxed);
@@ -109,83 +109,87 @@
     }
 
     /// The store can't be read since `at_ms`.
-    pub fn lose(&self, at_ms: u64) {
-        self.lost_ms.store(at_ms.max(1), Ordering::Relaxed);
+    pub fn mark_store_lost(&self, at_ms: u64) {
+        self.store_lost_ms.store(at_ms.max(1), Ordering::Relaxed);
     }
 
     /// The store can be read again.
-    pub fn find(&self) {
-        self.lost_ms.store(NEVER_MS, Ordering::Relaxed);
+    pub fn mark_store_recovered(&self) {
+        self.store_lost_ms.store(NEVER_MS, Ordering::Relaxed);
     }
 
     /// Since when the store can't be read, if it can't.
-    pub fn lost_since_ms(&self) -> Option<u64> {
-        let at_ms = self.lost_ms.load(Ordering::Relaxed);
+    pub fn store_lost_since_ms(&self) -> Option<u64> {
+        let at_ms = self.store_lost_ms.load(Ordering::Relaxed);
         Some(at_ms).filter(|at_ms| *at_ms != NEVER_MS)
     }
 
     /// A peer says what it knows.
-    pub fn hear(&self, word: Word) {
-        if word.content == self.content() {
-            self.confirm(word.confirmed_ms);
+    pub fn record_report(&self, report: PeerReport) {
+        if report.content_id == self.content_id() {
+            self.confirm(report.confirmed_ms);
         }
-        let newest_ms = self.heard.load().as_ref().map_or(0, |w| w.confirmed_ms);
-        if word.confirmed_ms < newest_ms {
+        let newest_ms = self
+            .latest_report
+            .load()
+            .as_ref()
+            .map_or(0, |w| w.confirmed_ms);
+        if report.confirmed_ms < newest_ms {
             return;
         }
-        self.heard.store(Some(Arc::new(word)));
-        let is_back = self
-            .lost_since_ms()
-            .is_some_and(|lost_ms| word.confirmed_ms > lost_ms);
-        if is_back || self.better().is_some() {
-            self.news.notify_one();
+        self.latest_report.store(Some(Arc::new(report)));
+        let is_store_back = self
+            .store_lost_since_ms()
+            .is_some_and(|store_lost_ms| report.confirmed_ms > store_lost_ms);
+        if is_store_back || self.newer_report().is_some() {
+            self.notify.notify_one();
         }
     }
 
     /// The word of a peer that knows better, if there is one.
     ///
     /// ```
-    /// use mgs_relay::belief::Belief;
-    /// use mgs_relay::belief::Contents;
-    /// use mgs_relay::belief::Word;
+    /// use mgs_relay::freshness::Freshness;
+    /// use mgs_relay::freshness::ContentKind;
+    /// use mgs_relay::freshness::PeerReport;
     ///
-    /// let belief = Belief::new(Contents::Versions);
-    /// belief.put(7);
-    /// let word = |content| Word { content, confirmed_ms: 100, from: ([127, 0, 0, 1], 1).into() };
-    /// belief.hear(word(7));
-    /// assert_eq!(belief.better(), None);
-    /// belief.hear(word(8));
-    /// assert_eq!(belief.better(), Some(word(8)));
+    /// let freshness = Freshness::new(ContentKind::Versions);
+    /// freshness.set_content_id(7);
+    /// let report = |content_id| PeerReport { content_id, confirmed_ms: 100, from: ([127, 0, 0, 1], 1).into() };
+    /// freshness.record_report(report(7));
+    /// assert_eq!(freshness.newer_report(), None);
+    /// freshness.record_report(report(8));
+    /// assert_eq!(freshness.newer_report(), Some(report(8)));
     /// ```
-    pub fn better(&self) -> Option<Word> {
-        let word = self.heard.load().as_deref().copied()?;
-        let own = self.content();
+    pub fn newer_report(&self) -> Option<PeerReport> {
+        let report = self.latest_report.load().as_deref().copied()?;
+        let own = self.content_id();
         let own_ms = self.confirmed_ms.load(Ordering::Relaxed);
-        let is_newer = match self.contents {
-            Contents::Versions => word.content > own,
-            Contents::Hashes => word.content != own && word.confirmed_ms > own_ms,
+        let is_newer = match self.content_kind {
+            ContentKind::Versions => report.content_id > own,
+            ContentKind::Hashes => report.content_id != own && report.confirmed_ms > own_ms,
         };
-        Some(word).filter(|_| is_newer)
+        Some(report).filter(|_| is_newer)
     }
 
     /// Whether a waiting call is to be given up since a peer knows better; once for each thing that
     /// peers know, so that views that differ for good don't make calls forever.
-    pub fn doubts(&self) -> bool {
-        let Some(word) = self.better() else {
+    pub fn should_abort_wait(&self) -> bool {
+        let Some(report) = self.newer_report() else {
             return false;
         };
-        let before = self.given_up_for.swap(word.content, Ordering::Relaxed);
-        before != word.content
+        let last_aborted_for = self.aborted_for.swap(report.content_id, Ordering::Relaxed);
+        last_aborted_for != report.content_id
     }
 
     /// Wakes whoever waits for news, for another reason.
     pub fn wake(&self) {
-        self.news.notify_one();
+        self.notify.notify_one();
     }
 
     /// Comes back when a peer knows better, or has read the store after this gateway lost it, or after
     /// [`Self::wake`].
-    pub async fn news(&self) {
-        self.news.notified().await;
+    pub async fn notified(&self) {
+        self.notify.notified().await;
     }
 }
--- a/crates/mgs-relay/src/headcount.rs
+++ b/crates/mgs-relay/src/gateway_count.rs
@@ -7,60 +7,60 @@
 
 /// How long the largest number of peers heard counts, in milliseconds: those that were cut off or have just ended may
 /// have spent their part.
-const MEMORY_MS: f64 = 20_000.0;
+const HEARD_MEMORY_MS: f64 = 20_000.0;
 
 /// The gateways that one of them knows of.
 ///
 /// ```
-/// use mgs_relay::headcount::Headcount;
+/// use mgs_relay::gateway_count::GatewayCount;
 ///
-/// let mut headcount = Headcount::default();
-/// headcount.heard(2, 0.0);
-/// assert_eq!(headcount.gateways(), 3);
-/// assert_eq!(headcount.sharing(), None);
+/// let mut count = GatewayCount::default();
+/// count.record_heard(2, 0.0);
+/// assert_eq!(count.heard_gateways(), 3);
+/// assert_eq!(count.gateways_sharing(), None);
 ///
-/// headcount.listed(8);
-/// headcount.told(5);
-/// assert_eq!(headcount.sharing(), Some(8));
+/// count.set_listed(8);
+/// count.record_reported(5);
+/// assert_eq!(count.gateways_sharing(), Some(8));
 /// ```
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Headcount {
+pub struct GatewayCount {
     /// Most peers heard at once of late.
-    heard: usize,
+    heard_peers: usize,
     heard_at_ms: f64,
     /// All that the store lists, this one included; `None` before it has been read.
-    listed: Option<usize>,
+    listed_gateways: Option<usize>,
     /// Most that a peer knew of; `None` if no peer knew.
-    told: Option<usize>,
+    reported_gateways: Option<usize>,
 }
 
-impl Headcount {
+impl GatewayCount {
     /// So many peers have been heard of late.
-    pub fn heard(&mut self, peers: usize, now_ms: f64) {
-        if peers >= self.heard || now_ms - self.heard_at_ms > MEMORY_MS {
-            self.heard = peers;
+    pub fn record_heard(&mut self, peers: usize, now_ms: f64) {
+        if peers >= self.heard_peers || now_ms - self.heard_at_ms > HEARD_MEMORY_MS {
+            self.heard_peers = peers;
             self.heard_at_ms = now_ms;
         }
     }
 
     /// The store lists so many gateways, this one included. Some of them may have ended.
-    pub fn listed(&mut self, gateways: usize) {
-        self.listed = Some(gateways);
+    pub fn set_listed(&mut self, gateways: usize) {
+        self.listed_gateways = Some(gateways);
     }
 
     /// A peer says that there are so many; the most that was ever said counts, until the store is read.
-    pub fn told(&mut self, gateways: usize) {
-        self.told = self.told.max(Some(gateways));
+    pub fn record_reported(&mut self, gateways: usize) {
+        self.reported_gateways = self.reported_gateways.max(Some(gateways));
     }
 
     /// Gateways heard of late, this one included.
-    pub fn gateways(&self) -> usize {
-        self.heard + 1
+    pub fn heard_gateways(&self) -> usize {
+        self.heard_peers + 1
     }
 
     /// How many gateways share what all may spend, or `None` as long as that isn't known.
-    pub fn sharing(&self) -> Option<usize> {
-        let known = self.listed.or(self.told)?;
-        Some(known.max(self.gateways()))
+    pub fn gateways_sharing(&self) -> Option<usize> {
+        let known = self.listed_gateways.or(self.reported_gateways)?;
+        Some(known.max(self.heard_gateways()))
     }
 }
--- a/crates/mgs-relay/src/grant.rs
+++ b/crates/mgs-relay/src/grant.rs
@@ -7,7 +7,7 @@
 use mgs_placing::share::Reads;
 
 use crate::core::Core;
-use crate::core::FreshRead;
+use crate::core::UnreportedRead;
 
 /// What one dispatch holds.
 pub(crate) struct Grant {
@@ -35,7 +35,9 @@
         }
         for (endpoint, what) in &held {
             core.board.borrow_mut().hold(*endpoint, what);
-            core.fresh_held.borrow_mut().push((*endpoint, what.clone()));
+            core.unreported_held
+                .borrow_mut()
+                .push((*endpoint, what.clone()));
         }
         core.board_changed.notify_one();
         Self {
@@ -64,7 +66,7 @@
     /// Tells peers at once of what is free again, where that is worth a message.
     fn tell_freed(&self) {
         if self.is_shared || self.core.has_few_peers() {
-            self.core.tell_freed();
+            self.core.announce_freed();
         }
     }
 }
@@ -90,12 +92,12 @@
             board.correct(*endpoint, now_ms, self.read_ms);
         }
         drop(board);
-        let given_up = self.readers.iter().map(|endpoint| FreshRead {
+        let given_up = self.readers.iter().map(|endpoint| UnreportedRead {
             endpoint: *endpoint,
             read_ms: self.read_ms,
             reads: Reads::GivenUp,
         });
-        self.core.fresh_reads.borrow_mut().extend(given_up);
+        self.core.unreported_reads.borrow_mut().extend(given_up);
         self.tell_freed();
     }
 }
--- a/crates/mgs-relay/src/help.rs
+++ b/crates/mgs-relay/src/help.rs
@@ -13,11 +13,11 @@
 
 use tokio::time::sleep;
 
-use crate::belief::Belief;
 use crate::follow::Options;
-use crate::handover;
-use crate::handover::Handover;
+use crate::freshness::Freshness;
 use crate::membership::Endpoints;
+use crate::peer_snapshot;
+use crate::peer_snapshot::PeerSnapshot;
 use crate::view::Configuration;
 use crate::view::Published;
 
@@ -33,9 +33,9 @@
     published: Arc<Published>,
     endpoints: Rc<RefCell<Endpoints>>,
 ) {
-    sleep(Duration::from_millis(options.start_patience_ms)).await;
+    sleep(Duration::from_millis(options.bootstrap_delay_ms)).await;
     while !published.is_complete() {
-        if let Some(handover) = handover::ask(&options.first_peers).await {
+        if let Some(handover) = peer_snapshot::fetch_first(&options.seed_peers).await {
             take(&published, &endpoints, handover);
         }
         sleep(START_PAUSE).await;
@@ -45,7 +45,7 @@
         sleep(LOOK).await;
         let peer = better_peer(&published).or_else(|| ahead.peer(&published));
         if let Some(peer) = peer {
-            if let Some(handover) = handover::ask(&[peer]).await {
+            if let Some(handover) = peer_snapshot::fetch_first(&[peer]).await {
                 take(&published, &endpoints, handover);
             }
         }
@@ -67,14 +67,14 @@
 impl Ahead {
     /// A peer that has known a newer configuration for some looks.
     fn peer(&mut self, published: &Published) -> Option<SocketAddr> {
-        let word = published.configuration_belief().better();
+        let word = published.configuration_freshness().newer_report();
         let Some(word) = word else {
             *self = Self::default();
             return None;
         };
-        if word.content != self.content {
+        if word.content_id != self.content {
             *self = Self {
-                content: word.content,
+                content: word.content_id,
                 looks: 0,
             };
         }
@@ -85,21 +85,24 @@
 
 /// A peer that knows better of a topic for which this gateway has lost the store.
 fn better_peer(published: &Published) -> Option<SocketAddr> {
-    let better = |belief: &Belief| {
-        belief.lost_since_ms()?;
-        belief.better().map(|word| word.from)
+    let better = |belief: &Freshness| {
+        belief.store_lost_since_ms()?;
+        belief.newer_report().map(|word| word.from)
     };
-    better(published.configuration_belief()).or_else(|| better(published.endpoint_belief()))
+    better(published.configuration_freshness()).or_else(|| better(published.endpoint_freshness()))
 }
 
-fn take(published: &Published, endpoints: &RefCell<Endpoints>, handover: Handover) {
-    let is_lost = |belief: &Belief| belief.lost_since_ms().is_some() || belief.content() == 0;
+fn take(published: &Published, endpoints: &RefCell<Endpoints>, handover: PeerSnapshot) {
+    let is_lost =
+        |belief: &Freshness| belief.store_lost_since_ms().is_some() || belief.content_id() == 0;
     // An older one isn't taken.
     published.put_configuration(Configuration::clone(&handover.configuration));
-    if is_lost(published.endpoint_belief()) {
+    if is_lost(published.endpoint_freshness()) {
         let mut endpoints = endpoints.borrow_mut();
-        endpoints.replace_by(handover.endpoints, published.now_ms());
-        published.endpoint_belief().put(endpoints.content());
+        endpoints.replace_all(handover.endpoints, published.now_ms());
+        published
+            .endpoint_freshness()
+            .set_content_id(endpoints.content_hash());
         published.put_fleet(endpoints.fleet());
     }
 }
--- a/crates/mgs-relay/src/memory.rs
+++ b/crates/mgs-relay/src/memory.rs
@@ -90,7 +90,7 @@
     }
 
     fn next_id(&self) -> String {
-        format!("{:x}-{}", self.core.incarnation, self.core.next_number())
+        format!("{:x}-{}", self.core.incarnation, self.core.next_id())
     }
 
     /// Renews until dropped.
--- a/crates/mgs-relay/src/metrics.rs
+++ b/crates/mgs-relay/src/metrics.rs
@@ -9,7 +9,7 @@
 use mgs_observe::metrics::Registry;
 
 /// Prompt lengths by which the first token's time is told apart, in tokens, with their labels.
-const LENGTHS: [(u64, &str); 4] = [
+const LENGTH_BUCKETS: [(u64, &str); 4] = [
     (1, "none"),
     (16_000, "under_16k"),
     (100_000, "16k_to_100k"),
@@ -18,7 +18,7 @@
 
 /// Sizes by which outcomes are told apart, in read tokens, with their labels: each twice the one before, so that
 /// the longest requests of a kind stand apart from the others.
-const SIZES: [(u64, &str); 10] = [
+const SIZE_BUCKETS: [(u64, &str); 10] = [
     (4_000, "under_4k"),
     (8_000, "4k_to_8k"),
     (16_000, "8k_to_16k"),
@@ -45,13 +45,13 @@
     /// Dispatches, by how they ended.
     pub(crate) dispatches: Counters,
     /// Streams that broke off, by reason.
-    pub(crate) broken: Counters,
+    pub(crate) broken_streams: Counters,
     /// Refusals of endpoints to help with a prompt, by what they show.
     pub(crate) help_refusals: Counters,
     /// What endpoints newly asked of those that send them requests, by what it is.
     pub(crate) advice: Counters,
     /// Requests that were placed at an endpoint that may not be sent anything any more, by why.
-    pub(crate) shut: Counters,
+    pub(crate) shut_before_dispatch: Counters,
     /// Runs of which no answer came, by what became of their endpoint.
     pub(crate) lost_runs: Counters,
     /// Works that were held as crashing endpoints, or let go.
@@ -109,7 +109,11 @@
             refusals: registry.counters("relay_refusals", "Requests without an answer", "reason"),
             retries: registry.counters("relay_retries", "Second tries, by reason", "reason"),
             dispatches: registry.counters("relay_dispatches", "Dispatches, by end", "end"),
-            broken: registry.counters("relay_broken_streams", "Streams that broke off", "reason"),
+            broken_streams: registry.counters(
+                "relay_broken_streams",
+                "Streams that broke off",
+                "reason",
+            ),
             help_refusals: registry.counters(
                 "relay_help_refusals",
                 "Refusals of endpoints to read a part of a prompt, by what they show",
@@ -120,7 +124,7 @@
                 "What endpoints newly asked of those that send them requests",
                 "news",
             ),
-            shut: registry.counters(
+            shut_before_dispatch: registry.counters(
                 "relay_shut_before_dispatch",
                 "Requests placed at an endpoint that may not be sent anything any more",
                 "reason",
@@ -175,18 +179,18 @@
 }
 
 /// Label of a prompt's length.
-pub(crate) fn length(prompt_tokens: u64) -> &'static str {
-    label(&LENGTHS, prompt_tokens)
+pub(crate) fn length_label(prompt_tokens: u64) -> &'static str {
+    bucket_label(&LENGTH_BUCKETS, prompt_tokens)
 }
 
 /// Label of a request's size.
-pub(crate) fn size(size_tokens: u64) -> &'static str {
-    label(&SIZES, size_tokens)
+pub(crate) fn size_label(size_tokens: u64) -> &'static str {
+    bucket_label(&SIZE_BUCKETS, size_tokens)
 }
 
 /// The first label whose bound exceeds `tokens`, else the last.
-fn label(bounds: &[(u64, &'static str)], tokens: u64) -> &'static str {
+fn bucket_label(bounds: &[(u64, &'static str)], tokens: u64) -> &'static str {
     let fits = |(below, _): &&(u64, &'static str)| tokens < *below;
-    let label = bounds.iter().find(fits).or(bounds.last());
-    label.map_or("", |(_, label)| label)
+    let bucket = bounds.iter().find(fits).or(bounds.last());
+    bucket.map_or("", |(_, label)| label)
 }
--- a/crates/mgs-relay/src/handover.rs
+++ b/crates/mgs-relay/src/peer_snapshot.rs
@@ -19,28 +19,28 @@
 use crate::view::Published;
 
 /// Longest wait for a peer, in all.
-const ASK: Duration = Duration::from_millis(1_000);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Longest message, in bytes: a configuration of some ten thousand routes.
-const BYTES_MAX: u64 = 32 * 1024 * 1024;
+const SNAPSHOT_BYTES_MAX: u64 = 32 * 1024 * 1024;
 
 /// What a gateway answers a peer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-enum Answer {
+enum Reply {
     /// It has no configuration itself, as when all start at once.
     NothingYet,
     /// What it knows.
-    All(Handover),
+    All(PeerSnapshot),
 }
 
 /// All that a gateway needs to serve.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Handover {
+pub(crate) struct PeerSnapshot {
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) endpoints: Vec<EndpointFacts>,
 }
 
-impl Handover {
+impl PeerSnapshot {
     fn of(published: &Published) -> Option<Self> {
         let configuration = published.configuration()?;
         let fleet = published.fleet();
@@ -57,45 +57,45 @@
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
-                tokio::task::spawn_local(tell(core.clone(), stream, from));
+                tokio::task::spawn_local(send(core.clone(), stream, from));
             }
             Err(error) => log::warn!(error:% = error; "peers can't be told"),
         }
     }
 }
 
-async fn tell(core: Rc<Core>, mut stream: TcpStream, peer: SocketAddr) {
-    let answer = Handover::of(&core.published).map_or(Answer::NothingYet, Answer::All);
-    let message = bincode::serde::encode_to_vec(&answer, bincode::config::standard())
+async fn send(core: Rc<Core>, mut stream: TcpStream, peer: SocketAddr) {
+    let reply = PeerSnapshot::of(&core.published).map_or(Reply::NothingYet, Reply::All);
+    let message = bincode::serde::encode_to_vec(&reply, bincode::config::standard())
         .expect("BUG: a handover is plain data");
     let sending = async {
         stream.write_all(&message).await?;
         stream.shutdown().await
     };
-    let sent = timeout(ASK, sending).await;
+    let sent = timeout(EXCHANGE_TIMEOUT, sending).await;
     let whole = matches!(sent, Ok(Ok(())));
-    match answer {
-        Answer::NothingYet => log::info!(peer:% = peer, whole = whole; "a peer was told nothing"),
-        Answer::All(handover) => log::info!(
-            peer:% = peer, configuration = handover.configuration.version,
-            endpoints = handover.endpoints.len(), whole = whole;
+    match reply {
+        Reply::NothingYet => log::info!(peer:% = peer, whole = whole; "a peer was told nothing"),
+        Reply::All(snapshot) => log::info!(
+            peer:% = peer, configuration = snapshot.configuration.version,
+            endpoints = snapshot.endpoints.len(), whole = whole;
             "a peer was told"
         ),
     }
 }
 
 /// Asks peers one after the other; the first that knows enough is taken.
-pub(crate) async fn ask(peers: &[SocketAddr]) -> Option<Handover> {
+pub(crate) async fn fetch_first(peers: &[SocketAddr]) -> Option<PeerSnapshot> {
     for peer in peers {
-        match timeout(ASK, read(*peer)).await {
-            Ok(Ok(Answer::NothingYet)) => log::info!(peer:% = peer; "a peer knows nothing yet"),
-            Ok(Ok(Answer::All(handover))) => {
+        match timeout(EXCHANGE_TIMEOUT, fetch(*peer)).await {
+            Ok(Ok(Reply::NothingYet)) => log::info!(peer:% = peer; "a peer knows nothing yet"),
+            Ok(Ok(Reply::All(snapshot))) => {
                 log::info!(
-                    peer:% = peer, configuration = handover.configuration.version,
-                    endpoints = handover.endpoints.len();
+                    peer:% = peer, configuration = snapshot.configuration.version,
+                    endpoints = snapshot.endpoints.len();
                     "a peer told what the store can't"
                 );
-                return Some(handover);
+                return Some(snapshot);
             }
             Ok(Err(error)) => log::info!(peer:% = peer, error = error; "a peer told nothing"),
             Err(_) => log::info!(peer:% = peer; "a peer doesn't answer"),
@@ -104,14 +104,14 @@
     None
 }
 
-async fn read(peer: SocketAddr) -> Result<Answer, String> {
+async fn fetch(peer: SocketAddr) -> Result<Reply, String> {
     let stream = TcpStream::connect(peer).await;
     let stream = stream.map_err(|error| error.to_string())?;
     let mut message = Vec::new();
-    let mut bounded = stream.take(BYTES_MAX);
+    let mut bounded = stream.take(SNAPSHOT_BYTES_MAX);
     let reading = bounded.read_to_end(&mut message).await;
     reading.map_err(|error| error.to_string())?;
     let decoded = bincode::serde::decode_from_slice(&message, bincode::config::standard());
-    let (answer, _) = decoded.map_err(|error| error.to_string())?;
-    Ok(answer)
+    let (reply, _) = decoded.map_err(|error| error.to_string())?;
+    Ok(reply)
 }
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -1,5 +1,5 @@
 //! What gateways hear of each other, over datagrams: what each has placed, and what it knows of the store. What this
-//! one says is the matter of [`crate::tell`].
+//! one says is the matter of [`crate::broadcast`].
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,23 +22,23 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-use crate::belief::Belief;
-use crate::belief::Word;
+use crate::broadcast;
+use crate::broadcast::SEND_INTERVAL_MIN;
 use crate::core::Core;
-use crate::spread;
-use crate::tell;
-use crate::tell::INTERVAL_MIN;
-use crate::traffic::Carried;
+use crate::crash_gossip;
+use crate::freshness::Freshness;
+use crate::freshness::PeerReport;
+use crate::traffic::TrafficKind;
 
 /// A peer that was not heard of for this long is told about once a second only, in milliseconds.
-const SILENT_MS: f64 = 2_000.0;
+const RECENT_CONTACT_MS: f64 = 2_000.0;
 
 /// Gateways that ask the store often, so that the others needn't: two, so that the end of one isn't felt.
-const READERS: usize = 2;
+const READER_COUNT: usize = 2;
 
 /// Added to the age of what a peer knows for its way here, in milliseconds: an interval between two messages
 /// and a busy host's delay.
-pub(crate) const ON_THE_WAY_MS: u64 = 50;
+pub(crate) const TRANSIT_MS: u64 = 50;
 
 /// What a gateway tells its peers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -56,26 +56,26 @@
 
 /// What is known of one address.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct PeerContact {
     at_ms: f64,
     is_leaving: bool,
 }
 
 /// Peers by address, and the last message's number by incarnation.
 #[derive(Debug, Default)]
-pub(crate) struct Known {
-    heard: HashMap<SocketAddr, Heard>,
+pub(crate) struct PeerTable {
+    contacts: HashMap<SocketAddr, PeerContact>,
     /// Peers that leave.
     leaving: HashSet<PeerKey>,
-    sequences: HashMap<PeerKey, u64>,
+    last_sequences: HashMap<PeerKey, u64>,
 }
 
-impl Known {
+impl PeerTable {
     /// Who is told: those heard of late, and at times all that are listed.
-    pub(crate) fn addresses(&self, core: &Core, now_ms: f64, to_all: bool) -> Vec<SocketAddr> {
-        let near = self.heard.iter();
-        let near = near.filter(|(_, heard)| now_ms - heard.at_ms < SILENT_MS);
-        let mut addresses: Vec<SocketAddr> = near.map(|(address, _)| *address).collect();
+    pub(crate) fn recipients(&self, core: &Core, now_ms: f64, to_all: bool) -> Vec<SocketAddr> {
+        let recent = self.contacts.iter();
+        let recent = recent.filter(|(_, contact)| now_ms - contact.at_ms < RECENT_CONTACT_MS);
+        let mut addresses: Vec<SocketAddr> = recent.map(|(address, _)| *address).collect();
         if to_all {
             addresses.extend(core.published.peers().iter());
             addresses.sort();
@@ -87,31 +87,40 @@
     /// Incarnations of the peers that are heard and stay.
     fn staying(&self, board: &Board) -> Vec<u64> {
         let stay = |peer: &&PeerKey| board.is_heard(**peer) && !self.leaving.contains(peer);
-        let mut staying: Vec<u64> = self.sequences.keys().filter(stay).map(|p| p.0).collect();
+        let mut staying: Vec<u64> = self
+            .last_sequences
+            .keys()
+            .filter(stay)
+            .map(|p| p.0)
+            .collect();
         staying.sort_unstable();
         staying
     }
 
     /// Whether the gateway at `own` is among the first that stay, by address; all agree without talking.
     fn is_reader(&self, own: SocketAddr, now_ms: f64) -> bool {
-        let goes_before = |(address, heard): &(&SocketAddr, &Heard)| {
-            **address < own && !heard.is_leaving && now_ms - heard.at_ms < PEER_SILENCE_MS
+        let precedes = |(address, contact): &(&SocketAddr, &PeerContact)| {
+            **address < own && !contact.is_leaving && now_ms - contact.at_ms < PEER_SILENCE_MS
         };
-        self.heard.iter().filter(goes_before).count() < READERS
+        self.contacts.iter().filter(precedes).count() < READER_COUNT
     }
 }
 
 /// Talks with peers until the process ends.
 pub(crate) async fn run(core: Rc<Core>, socket: UdpSocket) {
     let socket = Rc::new(socket);
-    let known = Rc::new(RefCell::new(Known::default()));
-    tokio::task::spawn_local(listen(core.clone(), socket.clone(), known.clone()));
-    tokio::task::spawn_local(count(core.clone(), known.clone()));
-    tokio::task::spawn_local(spread::run(core.clone(), socket.clone(), known.clone()));
-    tell::run(core, socket, known).await;
+    let peer_table = Rc::new(RefCell::new(PeerTable::default()));
+    tokio::task::spawn_local(receive(core.clone(), socket.clone(), peer_table.clone()));
+    tokio::task::spawn_local(maintain(core.clone(), peer_table.clone()));
+    tokio::task::spawn_local(crash_gossip::run(
+        core.clone(),
+        socket.clone(),
+        peer_table.clone(),
+    ));
+    broadcast::run(core, socket, peer_table).await;
 }
 
-async fn listen(core: Rc<Core>, socket: Rc<UdpSocket>, known: Rc<RefCell<Known>>) {
+async fn receive(core: Rc<Core>, socket: Rc<UdpSocket>, peer_table: Rc<RefCell<PeerTable>>) {
     let mut buffer = vec![0; 64 * 1024];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
@@ -119,17 +128,17 @@
             Err(error) => {
                 core.metrics.peer_faults.inc();
                 log::debug!(error:% = error; "peers can't be heard");
-                sleep(INTERVAL_MIN).await;
+                sleep(SEND_INTERVAL_MIN).await;
                 continue;
             }
         };
-        core.traffic.add(Carried::Heard, length);
+        core.traffic.add(TrafficKind::HeardMessages, length);
         let decoded = bincode::serde::decode_from_slice(
             &buffer[..length],
             bincode::config::standard().with_limit::<65_536>(),
         );
         match decoded {
-            Ok((Message::Beacon(beacon), _)) => hear(&core, &known, from, &beacon),
+            Ok((Message::Beacon(beacon), _)) => handle_beacon(&core, &peer_table, from, &beacon),
             Ok((Message::Crashes { from, works }, _)) => {
                 if from != core.incarnation {
                     core.hear_crashes(&works);
@@ -143,29 +152,29 @@
     }
 }
 
-fn hear(core: &Core, known: &RefCell<Known>, from: SocketAddr, beacon: &Beacon) {
+fn handle_beacon(core: &Core, peer_table: &RefCell<PeerTable>, from: SocketAddr, beacon: &Beacon) {
     if beacon.from == core.incarnation {
         return;
     }
     let peer = PeerKey(beacon.from);
     let now_ms = core.now_ms();
-    let mut known = known.borrow_mut();
-    let before = known.sequences.insert(peer, beacon.sequence);
+    let mut peer_table = peer_table.borrow_mut();
+    let before = peer_table.last_sequences.insert(peer, beacon.sequence);
     if let Some(newest) = before.filter(|newest| *newest >= beacon.sequence) {
-        known.sequences.insert(peer, newest);
+        peer_table.last_sequences.insert(peer, newest);
         return;
     }
     if beacon.leaving {
-        known.leaving.insert(peer);
+        peer_table.leaving.insert(peer);
     }
-    let heard = Heard {
+    let contact = PeerContact {
         at_ms: now_ms,
         is_leaving: beacon.leaving,
     };
-    let was_silent = known
-        .heard
-        .insert(from, heard)
-        .is_none_or(|before| now_ms - before.at_ms > SILENT_MS);
+    let was_silent = peer_table
+        .contacts
+        .insert(from, contact)
+        .is_none_or(|before| now_ms - before.at_ms > RECENT_CONTACT_MS);
     if was_silent || before.is_none() {
         core.crashes.newcomers.borrow_mut().push(from);
         core.crashes.urgent.notify_one();
@@ -174,10 +183,12 @@
         log::info!(peer:% = from; "a peer is heard");
     }
     if beacon.is_whole {
-        hear_knows(core, from, beacon);
+        record_peer_reports(core, from, beacon);
     }
     if let Some(gateways) = beacon.gateways {
-        core.headcount.borrow_mut().told(gateways as usize);
+        core.gateway_count
+            .borrow_mut()
+            .record_reported(gateways as usize);
     }
     core.hear_peer_advice(beacon);
     let fleet = core.published.fleet();
@@ -197,7 +208,7 @@
     }
     for refused in &beacon.refusals {
         if let Some(key) = key_of(refused.endpoint) {
-            let age_ms = u64::from(refused.age_ms) + ON_THE_WAY_MS;
+            let age_ms = u64::from(refused.age_ms) + TRANSIT_MS;
             let at_ms = core.now_whole_ms().saturating_sub(age_ms);
             core.helpers.borrow_mut().told(key, at_ms);
         }
@@ -216,71 +227,71 @@
 }
 
 /// Takes what a peer knows of the store.
-fn hear_knows(core: &Core, from: SocketAddr, beacon: &Beacon) {
+fn record_peer_reports(core: &Core, from: SocketAddr, beacon: &Beacon) {
     let published = &core.published;
     let now_ms = core.now_whole_ms();
-    let hear = |belief: &Belief, knows: Option<Knows>| {
+    let record = |freshness: &Freshness, knows: Option<Knows>| {
         let Some(knows) = knows else {
             return;
         };
-        belief.hear(Word {
-            content: knows.content,
-            confirmed_ms: now_ms.saturating_sub(u64::from(knows.age_ms) + ON_THE_WAY_MS),
+        freshness.record_report(PeerReport {
+            content_id: knows.content,
+            confirmed_ms: now_ms.saturating_sub(u64::from(knows.age_ms) + TRANSIT_MS),
             from,
         });
     };
-    hear(published.configuration_belief(), beacon.configuration);
-    hear(published.endpoint_belief(), beacon.endpoints);
+    record(published.configuration_freshness(), beacon.configuration);
+    record(published.endpoint_freshness(), beacon.endpoints);
 }
 
 /// Finds out whether this gateway is a reader, and wakes followers whose knowledge gets old.
-fn look_at_beliefs(core: &Core, known: &Known) {
+fn refresh_reader_role(core: &Core, peer_table: &PeerTable) {
     let published = &core.published;
-    let is_reader = known.is_reader(core.options.peer_listen, core.now_ms());
-    if published.put_reader(is_reader) {
+    let is_reader = peer_table.is_reader(core.options.peer_listen, core.now_ms());
+    if published.set_is_reader(is_reader) {
         log::info!(reader = is_reader; "who asks the store often has changed");
     }
     let now_ms = core.now_whole_ms();
-    for belief in [
-        published.configuration_belief(),
-        published.endpoint_belief(),
+    for freshness in [
+        published.configuration_freshness(),
+        published.endpoint_freshness(),
     ] {
-        if belief.is_stale(now_ms) {
-            belief.wake();
+        if freshness.is_stale(now_ms) {
+            freshness.wake();
         }
     }
 }
 
 /// Keeps count of the gateways, and forgets those that fell silent.
-async fn count(core: Rc<Core>, known: Rc<RefCell<Known>>) {
-    const LOOK: Duration = Duration::from_millis(250);
+async fn maintain(core: Rc<Core>, peer_table: Rc<RefCell<PeerTable>>) {
+    const INTERVAL: Duration = Duration::from_millis(250);
     loop {
-        sleep(LOOK).await;
+        sleep(INTERVAL).await;
         let now_ms = core.now_ms();
         let (gone, peers) = {
             let mut board = core.board.borrow_mut();
             (board.expire(now_ms), board.peers())
         };
-        look_at_beliefs(&core, &known.borrow());
-        let staying = known.borrow().staying(&core.board.borrow());
+        refresh_reader_role(&core, &peer_table.borrow());
+        let staying = peer_table.borrow().staying(&core.board.borrow());
         core.share_limits(staying);
         core.helpers.borrow_mut().expire(core.now_whole_ms());
         for peer in gone {
-            let mut known = known.borrow_mut();
-            known.sequences.remove(&peer);
-            known.leaving.remove(&peer);
-            drop(known);
+            let mut peer_table = peer_table.borrow_mut();
+            peer_table.last_sequences.remove(&peer);
+            peer_table.leaving.remove(&peer);
+            drop(peer_table);
             log::info!(peer = format!("{:x}", peer.0); "a peer fell silent");
         }
         core.metrics.peers.set(peers as i64);
-        count_gateways(&core, peers, now_ms);
-        note_beliefs(&core);
+        update_gateway_count(&core, peers, now_ms);
+        set_store_gauges(&core);
     }
 }
 
 /// Brings the number of gateways up to date.
-fn count_gateways(core: &Core, peers: usize, now_ms: f64) {
-    core.headcount.borrow_mut().heard(peers, now_ms);
+fn update_gateway_count(core: &Core, peers: usize, now_ms: f64) {
+    core.gateway_count.borrow_mut().record_heard(peers, now_ms);
     let sharing = core.gateways_sharing().map_or(-1, |n| n as i64);
     if core.metrics.gateways.get() != sharing {
         log::info!(gateways = sharing, heard = peers; "how many gateways there are has changed");
@@ -288,7 +299,7 @@
     core.metrics.gateways.set(sharing);
 }
 
-fn note_beliefs(core: &Core) {
+fn set_store_gauges(core: &Core) {
     let age = |age_ms: Option<u64>| age_ms.map_or(-1, |age_ms| age_ms as i64);
     let published = &core.published;
     let metrics = &core.metrics;
--- a/crates/mgs-relay/src/pursue.rs
+++ b/crates/mgs-relay/src/pursue.rs
@@ -27,6 +27,7 @@
 use crate::crash::LostRun;
 use crate::dialect::Ask;
 use crate::dialect::Dispatch;
+use crate::dispatch_outcome::HELPER_REFUSED;
 use crate::fault::Fault;
 use crate::fault::Refusal;
 use crate::place;
@@ -38,8 +39,7 @@
 use crate::quarantine;
 use crate::quarantine::Permission;
 use crate::quarantine::SETTLE;
-use crate::shown::HELPER_REFUSED;
-use crate::traffic::Carried;
+use crate::traffic::TrafficKind;
 use crate::view::Organisation;
 use crate::view::Route;
 
@@ -272,11 +272,13 @@
         self.progress.in_flight = true;
         if self.progress.dispatches == 1 {
             let now_ms = self.core.now_ms();
-            let live = self.core.published.live();
+            let live = self.core.published.live_settings();
             let mut budget = self.core.budget.borrow_mut();
             budget.first(&live.budget, &self.service, now_ms);
         }
-        self.core.traffic.add(Carried::Dispatches, self.body.len());
+        self.core
+            .traffic
+            .add(TrafficKind::Dispatches, self.body.len());
         let start = Instant::now();
         let is_streaming = self.route.kind.is_streaming();
         let sending = attempt::send(&self.core, &endpoint, request, &self.ask, is_streaming);
@@ -289,7 +291,7 @@
         self.progress.in_flight = false;
         let took_ms = start.elapsed().as_millis() as u64;
         let ended = self.with_helper_at_fault(&placed, ended);
-        self.note(&placed, &ended, took_ms);
+        self.record_outcome(&placed, &ended, took_ms);
         match ended {
             Ended::Whole { head, body } => self.judge_whole(head, body, endpoint.key),
             Ended::Started { head, stream } => {
@@ -342,7 +344,7 @@
         endpoint: EndpointKey,
     ) -> Result<Got, Failed> {
         self.progress.runs += 1;
-        self.core.traffic.add(Carried::Answers, body.len());
+        self.core.traffic.add(TrafficKind::Answers, body.len());
         if head.status.is_success() {
             self.core.run_ended_whole(self.work);
         }
@@ -391,7 +393,7 @@
         if self.progress.runs >= self.route.attempts_max {
             return false;
         }
-        self.core.may_try_again(&self.service)
+        self.core.take_retry(&self.service)
     }
 
     fn request(&self, placed: &Placed, last_event_id: Option<&str>) -> Request<Bytes> {
--- a/crates/mgs-relay/src/quarantine.rs
+++ b/crates/mgs-relay/src/quarantine.rs
@@ -1,5 +1,5 @@
 //! What this gateway knows of requests that crash endpoints, and what it does by that. Which requests these are is
-//! decided by `mgs-quarantine`; peers are told by [`crate::spread`].
+//! decided by `mgs-quarantine`; peers are told by [`crate::crash_gossip`].
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -25,7 +25,7 @@
 use crate::fault::Refusal;
 use crate::holds::News;
 use crate::holds::Write;
-use crate::membership::LAPSE_MS;
+use crate::membership::ENTRY_EXPIRY_MS;
 use crate::view::Endpoint;
 use crate::view::Fleet;
 
@@ -39,7 +39,7 @@
 
 /// How long the end of an endpoint may be found out after a run broke off there, and how long one that refuses connections
 /// is passed over, in milliseconds: its entry has lapsed then.
-const ENTRY_MS: f64 = LAPSE_MS as f64;
+const ENTRY_MS: f64 = ENTRY_EXPIRY_MS as f64;
 
 /// No endpoint starts again sooner after its end, in milliseconds.
 const RESTART_MIN_MS: f64 = 500.0;
--- a/crates/mgs-relay/src/readiness.rs
+++ b/crates/mgs-relay/src/readiness.rs
@@ -24,17 +24,17 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(converse(core.clone(), stream));
+                tokio::task::spawn_local(serve_connection(core.clone(), stream));
             }
             Err(error) => log::warn!(error:% = error; "the balancer can't be answered"),
         }
     }
 }
 
-async fn converse(core: Rc<Core>, stream: TcpStream) {
+async fn serve_connection(core: Rc<Core>, stream: TcpStream) {
     let service = service_fn(move |request| {
-        let answer = answer(&core, &request);
-        async move { Ok::<_, Infallible>(answer) }
+        let response = respond(&core, &request);
+        async move { Ok::<_, Infallible>(response) }
     });
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
@@ -42,7 +42,7 @@
     }
 }
 
-fn answer(core: &Core, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn respond(core: &Core, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let status = if request.uri().path() != core.dialect.ready_path() {
         StatusCode::NOT_FOUND
     } else if is_ready(core) {
@@ -50,9 +50,9 @@
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    let mut answer = Response::new(Full::new(Bytes::new()));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(Full::new(Bytes::new()));
+    *response.status_mut() = status;
+    response
 }
 
 /// Whether this host should get connections.
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -36,10 +36,10 @@
 use crate::crash::Looks;
 use crate::dialect::Dialect;
 use crate::drain::Drain;
-use crate::handover;
-use crate::headcount::Headcount;
+use crate::gateway_count::GatewayCount;
 use crate::helpers::Helpers;
 use crate::metrics::Metrics;
+use crate::peer_snapshot;
 use crate::peers;
 use crate::quarantine;
 use crate::quarantine::Crashes;
@@ -140,7 +140,7 @@
     dialect: Box<dyn Dialect>,
     published: Arc<Published>,
     metrics: Metrics,
-    started: impl FnOnce(Addresses),
+    on_started: impl FnOnce(Addresses),
     stop: impl Future<Output = ()> + 'static,
 ) -> Result<(), Error> {
     let runtime = Builder::new_current_thread()
@@ -148,15 +148,15 @@
         .enable_time()
         .build()
         .map_err(|error| Error::System(error.to_string()))?;
-    let core = core(options, dialect, published, metrics)?;
+    let core = new_core(options, dialect, published, metrics)?;
     let local = LocalSet::new();
-    let result = local.block_on(&runtime, serve(core, started, stop));
+    let result = local.block_on(&runtime, serve(core, on_started, stop));
     // Open sockets are closed by the end of the process; nobody waits for tasks that can't end.
     runtime.shutdown_background();
     result
 }
 
-fn core(
+fn new_core(
     options: Options,
     dialect: Box<dyn Dialect>,
     published: Arc<Published>,
@@ -168,8 +168,8 @@
         dialect,
         published,
         board: RefCell::new(Board::new()),
-        fresh_reads: RefCell::new(Vec::new()),
-        fresh_held: RefCell::new(Vec::new()),
+        unreported_reads: RefCell::new(Vec::new()),
+        unreported_held: RefCell::new(Vec::new()),
         whole_wanted: Cell::new(false),
         board_changed: Notify::new(),
         waiting_for_spare: RefCell::new(BTreeSet::new()),
@@ -185,11 +185,11 @@
         metrics,
         traffic: Traffic::default(),
         drain: Drain::new(),
-        headcount: RefCell::new(Headcount::default()),
+        gateway_count: RefCell::new(GatewayCount::default()),
         random: RefCell::new(ChaCha8Rng::seed_from_u64(
             options.random_seed.unwrap_or(incarnation),
         )),
-        last_number: Cell::new(0),
+        last_id: Cell::new(0),
         zone: zone_key(&options.zone),
         incarnation,
         options,
@@ -203,29 +203,29 @@
 
 async fn serve(
     core: Rc<Core>,
-    started: impl FnOnce(Addresses),
+    on_started: impl FnOnce(Addresses),
     stop: impl Future<Output = ()>,
 ) -> Result<(), Error> {
     let options = &core.options;
-    let clients = listen(options.client_listen, "clients")?;
-    let balancer = listen(options.ready_listen, "the balancer")?;
-    let (peers, starting) = listen_for_peers(options.peer_listen).await?;
-    started(Addresses {
-        client: local_address(clients.local_addr(), options.client_listen),
-        ready: local_address(balancer.local_addr(), options.ready_listen),
-        peer: local_address(peers.local_addr(), options.peer_listen),
+    let client_listener = listen(options.client_listen, "clients")?;
+    let ready_listener = listen(options.ready_listen, "the balancer")?;
+    let (peer_socket, snapshot_listener) = listen_for_peers(options.peer_listen).await?;
+    on_started(Addresses {
+        client: local_address(client_listener.local_addr(), options.client_listen),
+        ready: local_address(ready_listener.local_addr(), options.ready_listen),
+        peer: local_address(peer_socket.local_addr(), options.peer_listen),
     });
-    tokio::task::spawn_local(client::accept(core.clone(), clients));
-    tokio::task::spawn_local(readiness::accept(core.clone(), balancer));
-    tokio::task::spawn_local(peers::run(core.clone(), peers));
-    tokio::task::spawn_local(traffic::tell(core.clone()));
+    tokio::task::spawn_local(client::accept(core.clone(), client_listener));
+    tokio::task::spawn_local(readiness::accept(core.clone(), ready_listener));
+    tokio::task::spawn_local(peers::run(core.clone(), peer_socket));
+    tokio::task::spawn_local(traffic::report(core.clone()));
     tokio::task::spawn_local(quarantine::watch(core.clone()));
     tokio::task::spawn_local(quarantine::follow_store(core.clone()));
     tokio::task::spawn_local(quarantine::rewrite(core.clone()));
-    tokio::task::spawn_local(handover::serve(core.clone(), starting));
+    tokio::task::spawn_local(peer_snapshot::serve(core.clone(), snapshot_listener));
     stop.await;
     log::info!(open_requests = core.drain.open_requests(); "leaving");
-    let drain = core.published.live().drain;
+    let drain = core.published.live_settings().drain;
     core.drain.leave(drain).await;
     log::info!(open_requests = core.drain.open_requests(); "left");
     Ok(())
@@ -236,9 +236,9 @@
 async fn listen_for_peers(
     address: SocketAddr,
 ) -> Result<(UdpSocket, tokio::net::TcpListener), Error> {
-    const TRIES: usize = 20;
+    const ATTEMPTS_MAX: usize = 20;
     let mut last = None;
-    for _ in 0..TRIES {
+    for _ in 0..ATTEMPTS_MAX {
         let datagrams = UdpSocket::bind(address)
             .await
             .map_err(|source| Error::Listen {
@@ -256,8 +256,8 @@
     Err(last.expect("BUG: there was at least one try"))
 }
 
-fn local_address(known: io::Result<SocketAddr>, asked: SocketAddr) -> SocketAddr {
-    known.unwrap_or(asked)
+fn local_address(found: io::Result<SocketAddr>, requested: SocketAddr) -> SocketAddr {
+    found.unwrap_or(requested)
 }
 
 fn listen(address: SocketAddr, purpose: &'static str) -> Result<tokio::net::TcpListener, Error> {
--- a/crates/mgs-relay/src/serve.rs
+++ b/crates/mgs-relay/src/serve.rs
@@ -36,7 +36,7 @@
 use crate::pursue::Pursuit;
 use crate::quarantine::Permission;
 use crate::stream::Passing;
-use crate::traffic::Carried;
+use crate::traffic::TrafficKind;
 use crate::view::Configuration;
 use crate::view::Organisation;
 use crate::view::Route;
@@ -124,7 +124,7 @@
     fn count_size(&self, outcome: &str, status: u16) {
         let has_begun = outcome == "answered" && status < ERROR_STATUS_MIN;
         if self.prompt_tokens > 0 && !has_begun {
-            let size = metrics::size(self.size_tokens);
+            let size = metrics::size_label(self.size_tokens);
             self.core.metrics.outcomes.inc([size, outcome]);
         }
     }
@@ -210,7 +210,7 @@
     watch.timeout_ms = timeout_ms;
     let deadline = arrived + Duration::from_millis(timeout_ms);
     let body = read_body(body, configuration.limits.body_bytes, deadline).await?;
-    core.traffic.add(Carried::Requests, body.len());
+    core.traffic.add(TrafficKind::Requests, body.len());
     let service = pick_service(core, &admitted.route);
     let model = configuration
         .services
@@ -238,7 +238,7 @@
         Err(_) => return Err(pursuit.timed_out()),
     };
     let took_ms = arrived.elapsed().as_secs_f64() * 1e3;
-    let length = metrics::length(pursuit.ask.prompt_tokens);
+    let length = metrics::length_label(pursuit.ask.prompt_tokens);
     core.metrics.first_token_ms.observe(length, took_ms);
     Ok(pass_on(core, pursuit, got, open))
 }
@@ -272,7 +272,7 @@
     if core.published.now_ms() < START_MS {
         let patience = Duration::from_millis(START_PATIENCE_MS);
         // Whether all is known or time is up shows below.
-        let _ = timeout(patience, core.published.complete()).await;
+        let _ = timeout(patience, core.published.until_complete()).await;
     }
     core.published.configuration()
 }
--- a/crates/mgs-relay/src/source.rs
+++ b/crates/mgs-relay/src/source.rs
@@ -90,7 +90,7 @@
     /// Whether this start ends an `other` one at the same address. Of two that tell when they started the later one
     /// does, of two that don't the one that is written later. If only one of them tells, both stay: requests name
     /// the one that they are meant for, and the other refuses them unrun.
-    pub fn ends(&self, other: &Self) -> bool {
+    pub fn supersedes(&self, other: &Self) -> bool {
         match (self.born_ms, other.born_ms) {
             (Some(own_ms), Some(other_ms)) => own_ms > other_ms,
             (None, None) => true,
@@ -210,9 +210,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum SourceError {
     /// the store has dropped the changes since that revision
-    HistoryGone,
+    HistoryCompacted,
     /// the store has come back from an older copy: era {from} is over, this is era {to}
-    EraOver {
+    EraChanged {
         /// The era that was known.
         from: u64,
         /// The era that it is in now.
@@ -225,24 +225,29 @@
 impl std::error::Error for SourceError {}
 
 /// A reading under way.
-pub type Reading<'a, T> = Pin<Box<dyn Future<Output = Result<T, SourceError>> + 'a>>;
+pub type SourceFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, SourceError>> + 'a>>;
 
 /// The store as the follower sees it. One instance for each topic, so that none waits for another.
 pub trait Source {
     /// Reads all of a topic.
-    fn read_all(&mut self, topic: Topic) -> Reading<'_, Batch>;
+    fn read_all(&mut self, topic: Topic) -> SourceFuture<'_, Batch>;
 
     /// Waits for changes after a revision, at most `wait_ms`; none is an empty batch.
-    fn read_changes(&mut self, topic: Topic, after: Revision, wait_ms: u64) -> Reading<'_, Batch>;
+    fn read_changes(
+        &mut self,
+        topic: Topic,
+        after: Revision,
+        wait_ms: u64,
+    ) -> SourceFuture<'_, Batch>;
 
     /// Lists this gateway for its peers.
-    fn register(&mut self, name: &str, address: SocketAddr) -> Reading<'_, ()>;
+    fn register(&mut self, name: &str, address: SocketAddr) -> SourceFuture<'_, ()>;
 
     /// Writes that a work is held.
-    fn put_hold(&mut self, hold: &Told) -> Reading<'_, ()>;
+    fn put_hold(&mut self, hold: &Told) -> SourceFuture<'_, ()>;
 
     /// Writes that a work isn't held any more.
-    fn remove_hold(&mut self, work: WorkKey) -> Reading<'_, ()>;
+    fn remove_hold(&mut self, work: WorkKey) -> SourceFuture<'_, ()>;
 }
 
 /// Makes sources.
--- a/crates/mgs-relay/src/stream.rs
+++ b/crates/mgs-relay/src/stream.rs
@@ -19,7 +19,7 @@
 use crate::place::Placed;
 use crate::pursue::Got;
 use crate::pursue::Pursuit;
-use crate::traffic::Carried;
+use crate::traffic::TrafficKind;
 
 /// Pieces that wait for a slow client before the endpoint's connection isn't read any more.
 const PIECES_WAITING: usize = 16;
@@ -113,13 +113,13 @@
             self.pursuit.core.run_ended_whole(self.pursuit.work);
         }
         if end != End::Whole {
-            self.pursuit.core.metrics.broken.inc(end.name());
+            self.pursuit.core.metrics.broken_streams.inc(end.name());
             let broken = io::Error::other(end.name());
             // A client that has left takes no error either.
             let _ = self.client.try_send(Err(broken));
         }
         let size_tokens = self.pursuit.ask.size_tokens();
-        let size = metrics::size(size_tokens);
+        let size = metrics::size_label(size_tokens);
         let outcomes = &self.pursuit.core.metrics.outcomes;
         outcomes.inc([size, end.name()]);
         log::info!(
@@ -205,7 +205,7 @@
         self.last_id = self.stream.events.last_id().map(str::to_string);
         self.note_pause();
         let traffic = &self.pursuit.core.traffic;
-        traffic.add(Carried::Answers, events.len());
+        traffic.add(TrafficKind::Answers, events.len());
         let sending = self.client.send(Ok(events));
         match timeout_at(self.pursuit.deadline, sending).await {
             Ok(Ok(())) => None,
--- a/crates/mgs-relay/src/traffic.rs
+++ b/crates/mgs-relay/src/traffic.rs
@@ -13,11 +13,11 @@
 use crate::core::Core;
 
 /// Time between two lines of the log.
-const TOLD_EACH: Duration = Duration::from_secs(5);
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What bytes are for. Those of fields and of the transport aren't counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Carried {
+pub(crate) enum TrafficKind {
     /// Bodies from clients.
     Requests,
     /// Bodies to endpoints, each time they are sent.
@@ -31,10 +31,10 @@
     /// Messages to peers of requests that crash endpoints.
     CrashMessages,
     /// Messages from peers.
-    Heard,
+    HeardMessages,
 }
 
-impl Carried {
+impl TrafficKind {
     const ALL: [Self; 7] = [
         Self::Requests,
         Self::Dispatches,
@@ -42,7 +42,7 @@
         Self::ShortMessages,
         Self::WholeMessages,
         Self::CrashMessages,
-        Self::Heard,
+        Self::HeardMessages,
     ];
 
     /// Name in counters.
@@ -54,7 +54,7 @@
             Self::ShortMessages => "short_messages",
             Self::WholeMessages => "whole_messages",
             Self::CrashMessages => "crash_messages",
-            Self::Heard => "messages_heard",
+            Self::HeardMessages => "messages_heard",
         }
     }
 }
@@ -62,32 +62,32 @@
 /// Bytes carried since the last line.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
-    fresh: [Cell<u64>; Carried::ALL.len()],
+    unreported: [Cell<u64>; TrafficKind::ALL.len()],
 }
 
 impl Traffic {
-    pub(crate) fn add(&self, carried: Carried, bytes: usize) {
-        let cell = &self.fresh[carried as usize];
+    pub(crate) fn add(&self, kind: TrafficKind, bytes: usize) {
+        let cell = &self.unreported[kind as usize];
         cell.set(cell.get() + bytes as u64);
     }
 
     /// Takes what was carried into the counters, and answers it.
-    fn take(&self, counters: &Counters) -> [u64; Carried::ALL.len()] {
-        Carried::ALL.map(|carried| {
-            let bytes = self.fresh[carried as usize].take();
-            counters.inc_by(carried.name(), bytes);
+    fn drain_into(&self, counters: &Counters) -> [u64; TrafficKind::ALL.len()] {
+        TrafficKind::ALL.map(|kind| {
+            let bytes = self.unreported[kind as usize].take();
+            counters.inc_by(kind.name(), bytes);
             bytes
         })
     }
 }
 
 /// Tells what was carried until the process ends.
-pub(crate) async fn tell(core: Rc<Core>) {
+pub(crate) async fn report(core: Rc<Core>) {
     loop {
-        sleep(TOLD_EACH).await;
-        let taken = core.traffic.take(&core.metrics.bytes);
+        sleep(REPORT_INTERVAL).await;
+        let totals = core.traffic.drain_into(&core.metrics.bytes);
         let [requests, dispatches, answers, short_messages, whole_messages, crash_messages, messages_heard] =
-            taken;
+            totals;
         log::info!(
             requests = requests,
             dispatches = dispatches,
--- a/crates/mgs-relay/src/view.rs
+++ b/crates/mgs-relay/src/view.rs
@@ -17,17 +17,17 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-use crate::belief::Belief;
-use crate::belief::Contents;
 use crate::budget::Options as BudgetOptions;
 use crate::drain;
+use crate::freshness::ContentKind;
+use crate::freshness::Freshness;
 use crate::holds::Holds;
 use crate::source::EndpointFacts;
 use crate::source::Incarnation;
 
 /// What may be done again with a request of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once.
@@ -40,7 +40,7 @@
     },
 }
 
-impl Kind {
+impl RouteKind {
     /// Whether a request may be sent again although it may have run.
     pub fn is_repeatable(self) -> bool {
         match self {
@@ -67,7 +67,7 @@
 
 /// A service and its share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct ServiceShare {
     /// Name of the service.
     pub service: String,
     /// Its weight beside the others.
@@ -82,7 +82,7 @@
     /// Start of the paths that it takes.
     pub path_prefix: String,
     /// What may be done again.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time that a client is kept waiting, in milliseconds.
     pub timeout_ms: u64,
     /// Time to an answer (or its first event) that is on time, in milliseconds.
@@ -94,7 +94,7 @@
     /// Rank; 0 goes first.
     pub priority: u8,
     /// The services that it goes to.
-    pub shares: Vec<Share>,
+    pub shares: Vec<ServiceShare>,
     /// Most endpoints that one request may run on.
     pub attempts_max: u32,
     /// Whether it needs no key.
@@ -218,7 +218,7 @@
 
 /// Settings that may change while the process runs.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Live {
+pub struct LiveSettings {
     /// Second tries.
     pub budget: BudgetOptions,
     /// Leaving.
@@ -234,13 +234,13 @@
     peers: ArcSwap<Vec<SocketAddr>>,
     /// Gateways that the store lists; 0 before it has been read.
     listed_gateways: AtomicUsize,
-    live: ArcSwap<Live>,
+    live_settings: ArcSwap<LiveSettings>,
     started: Instant,
-    configuration_belief: Belief,
-    endpoint_belief: Belief,
+    configuration_freshness: Freshness,
+    endpoint_freshness: Freshness,
     holds: Holds,
     is_reader: AtomicBool,
-    completed: Notify,
+    completion: Notify,
 }
 
 impl Published {
@@ -252,13 +252,13 @@
             endpoint_hashes: ArcSwap::default(),
             peers: ArcSwap::default(),
             listed_gateways: AtomicUsize::new(0),
-            live: ArcSwap::default(),
+            live_settings: ArcSwap::default(),
             started: Instant::now(),
-            configuration_belief: Belief::new(Contents::Versions),
-            endpoint_belief: Belief::new(Contents::Hashes),
+            configuration_freshness: Freshness::new(ContentKind::Versions),
+            endpoint_freshness: Freshness::new(ContentKind::Hashes),
             holds: Holds::default(),
             is_reader: AtomicBool::new(true),
-            completed: Notify::new(),
+            completion: Notify::new(),
         }
     }
 
@@ -289,9 +289,10 @@
             .as_ref()
             .is_none_or(|known| configuration.version > known.version);
         if is_newer {
-            self.configuration_belief.put(configuration.version);
+            self.configuration_freshness
+                .set_content_id(configuration.version);
             self.configuration.store(Some(Arc::new(configuration)));
-            self.completed.notify_waiters();
+            self.completion.notify_waiters();
         }
         is_newer
     }
@@ -302,13 +303,13 @@
     }
 
     /// The settings that may change.
-    pub fn live(&self) -> Arc<Live> {
-        self.live.load_full()
+    pub fn live_settings(&self) -> Arc<LiveSettings> {
+        self.live_settings.load_full()
     }
 
     /// Replaces the settings that may change.
-    pub fn put_live(&self, live: Live) {
-        self.live.store(Arc::new(live));
+    pub fn put_live_settings(&self, live_settings: LiveSettings) {
+        self.live_settings.store(Arc::new(live_settings));
     }
 
     /// Where the other gateways listen.
@@ -338,12 +339,12 @@
         let hashes = fleet.by_key.values().map(|e| (hash(e), e.key)).collect();
         self.endpoint_hashes.store(Arc::new(hashes));
         self.fleet.store(Arc::new(fleet));
-        self.completed.notify_waiters();
+        self.completion.notify_waiters();
     }
 
     /// How fresh the configuration is.
-    pub fn configuration_belief(&self) -> &Belief {
-        &self.configuration_belief
+    pub fn configuration_freshness(&self) -> &Freshness {
+        &self.configuration_freshness
     }
 
     /// Works that are held, as the store keeps them.
@@ -352,18 +353,18 @@
     }
 
     /// How fresh the fleet is.
-    pub fn endpoint_belief(&self) -> &Belief {
-        &self.endpoint_belief
+    pub fn endpoint_freshness(&self) -> &Freshness {
+        &self.endpoint_freshness
     }
 
     /// Time since the configuration was last confirmed; `None` if it never was.
     pub fn configuration_age_ms(&self) -> Option<u64> {
-        self.configuration_belief.age_ms(self.now_ms())
+        self.configuration_freshness.age_ms(self.now_ms())
     }
 
     /// Time since the fleet was last confirmed; `None` if it never was.
     pub fn fleet_age_ms(&self) -> Option<u64> {
-        self.endpoint_belief.age_ms(self.now_ms())
+        self.endpoint_freshness.age_ms(self.now_ms())
     }
 
     /// Whether this gateway is one of those that ask the store often.
@@ -372,14 +373,14 @@
     }
 
     /// Makes it one of them, or not; tells whether that is a change.
-    pub fn put_reader(&self, is_reader: bool) -> bool {
+    pub fn set_is_reader(&self, is_reader: bool) -> bool {
         self.is_reader.swap(is_reader, Ordering::Relaxed) != is_reader
     }
 
     /// Comes back when there is what serving needs; waits for nothing if there is.
-    pub async fn complete(&self) {
+    pub async fn until_complete(&self) {
         loop {
-            let mut changed = std::pin::pin!(self.completed.notified());
+            let mut changed = std::pin::pin!(self.completion.notified());
             changed.as_mut().enable();
             if self.is_complete() {
                 return;
--- a/crates/mgs-relay/src/wait.rs
+++ b/crates/mgs-relay/src/wait.rs
@@ -152,7 +152,7 @@
 
 impl Waiting {
     fn new(core: &Rc<Core>) -> Self {
-        let number = core.next_number();
+        let number = core.next_id();
         Self {
             core: core.clone(),
             number,
@@ -235,7 +235,7 @@
 fn gateways(core: &Core, scope: Scope) -> usize {
     match scope {
         Scope::Zone => core.board.borrow().peers_in(core.zone) + 1,
-        Scope::Fleet => core.headcount.borrow().gateways(),
+        Scope::Fleet => core.gateway_count.borrow().heard_gateways(),
     }
 }
 
@@ -284,7 +284,7 @@
     };
     let board = core.board.borrow();
     let options = &core.options.placing;
-    let (draw, now_ms) = (core.draw(), core.now_ms());
+    let (draw, now_ms) = (core.random_unit(), core.now_ms());
     let chosen = place(need, &field, &board, prompt.model, options, draw, now_ms);
     chosen.map_err(|no_place| {
         let refusal = refuse(no_place);
--- a/crates/mgs-relay/tests/budget.rs
+++ b/crates/mgs-relay/tests/budget.rs
@@ -10,7 +10,7 @@
 
 use mgs_relay::budget::Budget;
 use mgs_relay::budget::Options;
-use mgs_relay::headcount::Headcount;
+use mgs_relay::gateway_count::GatewayCount;
 
 const GATEWAYS: usize = 100;
 
@@ -26,7 +26,7 @@
 }
 
 /// Second tries that gateways take within one window, each for as many requests, as far as their budgets allow.
-fn taken(headcounts: &[Headcount], requests_each: usize) -> usize {
+fn taken(headcounts: &[GatewayCount], requests_each: usize) -> usize {
     let options = options();
     let mut taken = 0;
     for headcount in headcounts {
@@ -34,7 +34,8 @@
         for request in 0..requests_each {
             let now_ms = request as f64;
             budget.first(&options, SERVICE, now_ms);
-            let again = |_: &i32| budget.again(&options, SERVICE, now_ms, headcount.sharing());
+            let again =
+                |_: &i32| budget.again(&options, SERVICE, now_ms, headcount.gateways_sharing());
             taken += (0..3).filter(again).count();
         }
     }
@@ -48,23 +49,23 @@
 
 #[test]
 fn gateways_that_all_start_anew_and_know_nobody_stay_within_the_allowance() {
-    let headcounts = vec![Headcount::default(); GATEWAYS];
+    let headcounts = vec![GatewayCount::default(); GATEWAYS];
     let taken = taken(&headcounts, 20);
     assert!(taken <= allowed(GATEWAYS * 20), "{taken}");
 }
 
 #[test]
 fn gateways_that_have_heard_few_peers_stay_within_the_allowance() {
-    let mut headcount = Headcount::default();
-    headcount.heard(4, 0.0);
+    let mut headcount = GatewayCount::default();
+    headcount.record_heard(4, 0.0);
     let taken = taken(&vec![headcount; GATEWAYS], 20);
     assert!(taken <= allowed(GATEWAYS * 20), "{taken}");
 }
 
 #[test]
 fn gateways_that_know_how_many_they_are_may_use_the_fixed_part() {
-    let mut headcount = Headcount::default();
-    headcount.told(GATEWAYS);
+    let mut headcount = GatewayCount::default();
+    headcount.record_reported(GATEWAYS);
     let few_requests = taken(&vec![headcount; GATEWAYS], 1);
     assert!(few_requests >= GATEWAYS, "{few_requests}");
     assert!(few_requests <= allowed(GATEWAYS), "{few_requests}");
@@ -72,10 +73,14 @@
 
 #[test]
 fn a_number_that_a_peer_told_gives_way_to_the_stores_list() {
-    let mut headcount = Headcount::default();
-    headcount.told(40);
-    headcount.listed(3);
-    assert_eq!(headcount.sharing(), Some(3));
-    headcount.heard(9, 0.0);
-    assert_eq!(headcount.sharing(), Some(10), "who is heard is there");
+    let mut headcount = GatewayCount::default();
+    headcount.record_reported(40);
+    headcount.set_listed(3);
+    assert_eq!(headcount.gateways_sharing(), Some(3));
+    headcount.record_heard(9, 0.0);
+    assert_eq!(
+        headcount.gateways_sharing(),
+        Some(10),
+        "who is heard is there"
+    );
 }
--- /dev/null
+++ b/crates/mgs-relay/tests/freshness.rs
@@ -0,0 +1,96 @@
+//! Who knows better, and when a waiting call is given up.
+
+use std::time::Duration;
+
+use mgs_relay::freshness::ContentKind;
+use mgs_relay::freshness::Freshness;
+use mgs_relay::freshness::PeerReport;
+use mgs_relay::freshness::STALE_MS;
+use rstest::rstest;
+use tokio::runtime::Builder;
+use tokio::time::timeout;
+
+fn report(content_id: u64, confirmed_ms: u64) -> PeerReport {
+    PeerReport {
+        content_id,
+        confirmed_ms,
+        from: ([127, 0, 0, 1], 7).into(),
+    }
+}
+
+fn known(kind: ContentKind, content_id: u64, confirmed_ms: u64) -> Freshness {
+    let freshness = Freshness::new(kind);
+    freshness.set_content_id(content_id);
+    freshness.confirm(confirmed_ms);
+    freshness
+}
+
+#[rstest]
+#[case::same_version(ContentKind::Versions, 7, 900, false)]
+#[case::older_version_confirmed_later(ContentKind::Versions, 6, 900, false)]
+#[case::newer_version(ContentKind::Versions, 8, 900, true)]
+#[case::newer_version_confirmed_before(ContentKind::Versions, 8, 100, true)]
+#[case::same_hash(ContentKind::Hashes, 7, 900, false)]
+#[case::other_hash_confirmed_later(ContentKind::Hashes, 6, 900, true)]
+#[case::other_hash_confirmed_before(ContentKind::Hashes, 8, 100, false)]
+fn a_peer_knows_better(
+    #[case] kind: ContentKind,
+    #[case] content_id: u64,
+    #[case] confirmed_ms: u64,
+    #[case] newer_report: bool,
+) {
+    let freshness = known(kind, 7, 500);
+    freshness.record_report(report(content_id, confirmed_ms));
+    assert_eq!(freshness.newer_report().is_some(), newer_report);
+}
+
+#[test]
+fn a_peer_that_knows_the_same_confirms_it_and_never_takes_that_back() {
+    let freshness = known(ContentKind::Versions, 7, 500);
+    freshness.record_report(report(7, 900));
+    assert_eq!(freshness.age_ms(1_000), Some(100));
+    freshness.record_report(report(7, 300));
+    assert_eq!(freshness.age_ms(1_000), Some(100));
+    freshness.record_report(report(6, 950));
+    assert_eq!(freshness.age_ms(1_000), Some(100));
+}
+
+#[test]
+fn a_call_is_given_up_once_for_each_thing_that_peers_know() {
+    let freshness = known(ContentKind::Hashes, 7, 500);
+    freshness.record_report(report(8, 900));
+    assert!(freshness.should_abort_wait());
+    freshness.record_report(report(8, 950));
+    assert!(
+        !freshness.should_abort_wait(),
+        "views that differ for good make no calls"
+    );
+    freshness.record_report(report(9, 990));
+    assert!(freshness.should_abort_wait());
+}
+
+#[test]
+fn what_nothing_confirms_gets_stale() {
+    let freshness = Freshness::new(ContentKind::Versions);
+    assert!(freshness.is_stale(0));
+    freshness.confirm(1_000);
+    assert!(!freshness.is_stale(1_000 + STALE_MS));
+    assert!(freshness.is_stale(1_001 + STALE_MS));
+}
+
+#[test]
+fn a_peer_that_has_read_the_store_since_it_was_lost_is_news() {
+    let runtime = Builder::new_current_thread()
+        .enable_time()
+        .build()
+        .expect("a runtime");
+    let is_notified = |confirmed_ms| {
+        let freshness = known(ContentKind::Versions, 7, 500);
+        freshness.mark_store_lost(800);
+        freshness.record_report(report(7, confirmed_ms));
+        let notified = async { timeout(Duration::from_millis(5), freshness.notified()).await };
+        runtime.block_on(notified).is_ok()
+    };
+    assert!(!is_notified(790));
+    assert!(is_notified(810));
+}
--- a/crates/mgs-relay/tests/incarnations.rs
+++ b/crates/mgs-relay/tests/incarnations.rs
@@ -19,7 +19,7 @@
 use proptest::prelude::Strategy;
 use rstest::rstest;
 
-const GRACE_MS: u64 = 2_200;
+const EXPIRY_GRACE_MS: u64 = 2_200;
 
 fn facts(id: u8, born_ms: Option<u64>) -> EndpointFacts {
     EndpointFacts {
@@ -45,15 +45,15 @@
 
 #[test]
 fn a_start_under_the_same_identifier_is_another_endpoint() {
-    let mut endpoints = Endpoints::new(GRACE_MS);
-    endpoints.see(facts(1, Some(10)), true).expect("used");
+    let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
+    endpoints.upsert(facts(1, Some(10)), true).expect("used");
     let first = key_of(&endpoints, 1);
-    let content = endpoints.content();
-    endpoints.see(facts(1, Some(20)), true).expect("used");
+    let before = endpoints.content_hash();
+    endpoints.upsert(facts(1, Some(20)), true).expect("used");
     assert_ne!(key_of(&endpoints, 1), first);
     assert_ne!(
-        endpoints.content(),
-        content,
+        endpoints.content_hash(),
+        before,
         "peers see that it isn't the same"
     );
     let earlier = facts(1, Some(10)).incarnation;
@@ -72,32 +72,32 @@
     #[case] expected: Result<(), RowFault>,
     #[case] is_used: bool,
 ) {
-    let mut endpoints = Endpoints::new(GRACE_MS);
-    endpoints.see(facts(1, Some(20)), true).expect("used");
+    let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
+    endpoints.upsert(facts(1, Some(20)), true).expect("used");
     let key = key_of(&endpoints, 1);
-    assert_eq!(endpoints.see(facts(1, born_ms), true), expected);
+    assert_eq!(endpoints.upsert(facts(1, born_ms), true), expected);
     assert_eq!(key_of(&endpoints, 1), key.filter(|_| is_used));
-    endpoints.see(facts(1, Some(20)), true).expect("used");
+    endpoints.upsert(facts(1, Some(20)), true).expect("used");
     assert_eq!(key_of(&endpoints, 1), key, "the same life is known again");
 }
 
 #[test]
 fn an_endpoint_that_never_told_its_start_stays_in_use() {
-    let mut endpoints = Endpoints::new(GRACE_MS);
-    endpoints.see(facts(1, None), true).expect("used");
+    let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
+    endpoints.upsert(facts(1, None), true).expect("used");
     let key = key_of(&endpoints, 1);
-    endpoints.see(facts(1, None), true).expect("used");
+    endpoints.upsert(facts(1, None), true).expect("used");
     assert_eq!(key_of(&endpoints, 1), key);
 }
 
 #[test]
 fn an_older_start_is_remembered_after_the_endpoint_is_gone() {
-    let mut endpoints = Endpoints::new(GRACE_MS);
-    endpoints.see(facts(1, Some(20)), true).expect("used");
-    endpoints.miss("i-1", 100);
+    let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
+    endpoints.upsert(facts(1, Some(20)), true).expect("used");
+    endpoints.mark_missing("i-1", 100);
     endpoints.drop_missing(100);
     assert_eq!(
-        endpoints.see(facts(1, Some(10)), true),
+        endpoints.upsert(facts(1, Some(10)), true),
         Err(RowFault::OlderStart)
     );
     assert_eq!(key_of(&endpoints, 1), None);
@@ -122,31 +122,33 @@
 fn an_entry_at_a_listed_address(
     #[case] listed_born_ms: Option<u64>,
     #[case] born_ms: Option<u64>,
-    #[case] is_named: bool,
+    #[case] is_service_known: bool,
     #[case] stays: bool,
 ) {
-    let mut endpoints = Endpoints::new(GRACE_MS);
-    endpoints.see(facts(1, listed_born_ms), true).expect("used");
-    let taken = endpoints.see(at_address_of_1(born_ms, "other"), is_named);
+    let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
+    endpoints
+        .upsert(facts(1, listed_born_ms), true)
+        .expect("used");
+    let taken = endpoints.upsert(at_address_of_1(born_ms, "other"), is_service_known);
     assert_eq!(key_of(&endpoints, 1).is_some(), stays, "{taken:?}");
 }
 
 #[test]
 fn an_unreadable_row_hides_its_endpoint_until_it_is_right_again() {
-    let mut endpoints = Endpoints::new(GRACE_MS);
+    let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
     for id in 1..=2 {
-        endpoints.see(facts(id, Some(10)), true).expect("used");
+        endpoints.upsert(facts(id, Some(10)), true).expect("used");
     }
     let key = key_of(&endpoints, 1);
-    endpoints.hide("i-1");
-    endpoints.hide("nobody");
+    endpoints.mark_unreadable("i-1");
+    endpoints.mark_unreadable("nobody");
     assert_eq!(key_of(&endpoints, 1), None);
     assert!(key_of(&endpoints, 2).is_some(), "the others hold");
-    endpoints.see(facts(1, Some(10)), true).expect("used");
+    endpoints.upsert(facts(1, Some(10)), true).expect("used");
     assert_eq!(key_of(&endpoints, 1), key);
-    endpoints.hide("i-1");
-    endpoints.outage_ended(0, 100);
-    endpoints.miss("i-1", 100);
+    endpoints.mark_unreadable("i-1");
+    endpoints.note_outage_end(0, 100);
+    endpoints.mark_missing("i-1", 100);
     endpoints.drop_missing(200);
     assert_eq!(key_of(&endpoints, 1), None, "it didn't lapse in an outage");
 }
@@ -184,7 +186,7 @@
     ]
 }
 
-fn play(endpoints: &mut Endpoints, event: &Event, now_ms: u64) {
+fn apply(endpoints: &mut Endpoints, event: &Event, now_ms: u64) {
     match event {
         Event::Entry {
             id,
@@ -196,16 +198,16 @@
                 ..facts(*id, *born_ms)
             };
             // Whether it is taken is what the properties tell.
-            let _ = endpoints.see(entry, true);
+            let _ = endpoints.upsert(entry, true);
         }
-        Event::Unreadable { id } => endpoints.hide(&format!("i-{id}")),
-        Event::Gone { id } => endpoints.miss(&format!("i-{id}"), now_ms),
-        Event::OutageEnded => endpoints.outage_ended(now_ms.saturating_sub(1), now_ms),
+        Event::Unreadable { id } => endpoints.mark_unreadable(&format!("i-{id}")),
+        Event::Gone { id } => endpoints.mark_missing(&format!("i-{id}"), now_ms),
+        Event::OutageEnded => endpoints.note_outage_end(now_ms.saturating_sub(1), now_ms),
         Event::Peer { entries } => {
             let listed = entries
                 .iter()
                 .map(|(id, born_ms)| facts(*id, Some(*born_ms)));
-            endpoints.replace_by(listed.collect(), now_ms);
+            endpoints.replace_all(listed.collect(), now_ms);
         }
     }
     endpoints.drop_missing(now_ms);
@@ -213,37 +215,37 @@
 
 /// What the entries so far say, kept apart from the code under test.
 #[derive(Debug, Default)]
-struct Told {
+struct Expected {
     newest_ms: HashMap<u8, u64>,
     /// Whether the last row of an identifier can be read and says enough.
-    is_right: HashMap<u8, bool>,
+    is_usable: HashMap<u8, bool>,
 }
 
-impl Told {
-    fn hear(&mut self, event: &Event) {
+impl Expected {
+    fn record(&mut self, event: &Event) {
         match event {
-            Event::Entry { id, born_ms, .. } => self.hear_entry(*id, *born_ms),
+            Event::Entry { id, born_ms, .. } => self.record_entry(*id, *born_ms),
             Event::Unreadable { id } => {
-                self.is_right.insert(*id, false);
+                self.is_usable.insert(*id, false);
             }
             Event::Gone { .. } | Event::OutageEnded => {}
             Event::Peer { entries } => {
                 for (id, born_ms) in entries {
-                    self.hear_entry(*id, Some(*born_ms));
+                    self.record_entry(*id, Some(*born_ms));
                 }
             }
         }
     }
 
-    fn hear_entry(&mut self, id: u8, born_ms: Option<u64>) {
+    fn record_entry(&mut self, id: u8, born_ms: Option<u64>) {
         let newest_ms = self.newest_ms.get(&id).copied();
         match born_ms {
             None => {
-                self.is_right.insert(id, newest_ms.is_none());
+                self.is_usable.insert(id, newest_ms.is_none());
             }
             Some(born_ms) if newest_ms.is_none_or(|newest_ms| born_ms >= newest_ms) => {
                 self.newest_ms.insert(id, born_ms);
-                self.is_right.insert(id, true);
+                self.is_usable.insert(id, true);
             }
             // An old entry changes nothing.
             Some(_) => {}
@@ -255,18 +257,18 @@
     /// An endpoint in use is one whose newest readable entry says so, and no key is ever another life's.
     #[test]
     fn whatever_comes_in_whichever_order(events in prop::collection::vec(event(), 1..60)) {
-        let mut endpoints = Endpoints::new(GRACE_MS);
-        let mut told = Told::default();
+        let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
+        let mut expected = Expected::default();
         let mut lives: HashMap<EndpointKey, Incarnation> = HashMap::new();
         for (step, event) in events.iter().enumerate() {
-            told.hear(event);
-            play(&mut endpoints, event, step as u64 * 700);
+            expected.record(event);
+            apply(&mut endpoints, event, step as u64 * 700);
             for endpoint in endpoints.fleet().by_key.values() {
                 let life = &endpoint.facts.incarnation;
                 let id: u8 = life.id[2..].parse().expect("a number");
-                let newest_ms = told.newest_ms.get(&id).copied();
+                let newest_ms = expected.newest_ms.get(&id).copied();
                 prop_assert_eq!(life.born_ms, newest_ms, "{:?}", event);
-                prop_assert!(told.is_right.get(&id) == Some(&true), "{:?} after {:?}", life, event);
+                prop_assert!(expected.is_usable.get(&id) == Some(&true), "{:?} after {:?}", life, event);
                 let first = lives.entry(endpoint.key).or_insert_with(|| life.clone());
                 prop_assert_eq!(&*first, life, "a key of two lives");
             }
@@ -276,14 +278,14 @@
     /// Two gateways that have read the same in the end agree, whatever each read before.
     #[test]
     fn gateways_agree_in_the_end(events in prop::collection::vec(event(), 1..40)) {
-        let (mut one, mut other) = (Endpoints::new(GRACE_MS), Endpoints::new(GRACE_MS));
+        let (mut one, mut other) = (Endpoints::new(EXPIRY_GRACE_MS), Endpoints::new(EXPIRY_GRACE_MS));
         for (step, event) in events.iter().enumerate() {
-            play(&mut one, event, step as u64 * 700);
+            apply(&mut one, event, step as u64 * 700);
         }
         let last = [(0u8, 9u64), (1, 9), (2, 9)];
         let peer = Event::Peer { entries: last.to_vec() };
-        play(&mut one, &peer, 1_000_000);
-        play(&mut other, &peer, 1_000_000);
-        prop_assert_eq!(one.content(), other.content());
+        apply(&mut one, &peer, 1_000_000);
+        apply(&mut other, &peer, 1_000_000);
+        prop_assert_eq!(one.content_hash(), other.content_hash());
     }
 }
--- a/crates/mgs-relay/tests/rollback.rs
+++ b/crates/mgs-relay/tests/rollback.rs
@@ -19,26 +19,26 @@
 use proptest::test_runner::Config;
 use proptest::test_runner::TestRunner;
 
-const GRACE_MS: u64 = 2_200;
+const EXPIRY_GRACE_MS: u64 = 2_200;
 
 /// Endpoints, each with an address of its own.
-const PLACES: usize = 4;
+const ENDPOINT_COUNT: usize = 4;
 
 /// Something that happens.
 #[derive(Debug, Clone)]
 enum Event {
     /// An endpoint says that it leaves.
-    Leaves(usize),
+    Leave(usize),
     /// It has gone.
-    Goes(usize),
+    Remove(usize),
     /// Another life of it starts.
-    Starts(usize),
+    Start(usize),
     /// The store comes back as it was so many writes before.
-    RollsBack(usize),
+    RollBack(usize),
     /// Whoever lives writes again what it is, some of them only.
-    WritesAgain(usize),
+    Rewrite(usize),
     /// The gateway reads.
-    Reads,
+    Read,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -56,96 +56,96 @@
     /// Up to where the gateway has read, in which era.
     cursor: Option<(u64, usize)>,
     /// Lives that the gateway has heard to leave or end.
-    heard_out: HashSet<Incarnation>,
+    known_ended: HashSet<Incarnation>,
     /// Lives that the gateway knew after its last reading.
     known: HashSet<Incarnation>,
     now_ms: u64,
-    hear: Hear,
+    apply_entry: ApplyEntry,
 }
 
-type Hear = fn(&mut Endpoints, EndpointFacts, Origin, u64) -> Result<(), RowFault>;
+type ApplyEntry = fn(&mut Endpoints, EndpointFacts, Origin, u64) -> Result<(), RowFault>;
 
-fn hear(
+fn apply_entry(
     endpoints: &mut Endpoints,
     facts: EndpointFacts,
     origin: Origin,
     now_ms: u64,
 ) -> Result<(), RowFault> {
-    endpoints.hear(facts, true, origin, now_ms)
+    endpoints.apply(facts, true, origin, now_ms)
 }
 
 /// Takes the copy's word over what was heard.
-fn hear_the_copy(
+fn apply_as_change(
     endpoints: &mut Endpoints,
     facts: EndpointFacts,
     _: Origin,
     now_ms: u64,
 ) -> Result<(), RowFault> {
-    endpoints.hear(facts, true, Origin::Written, now_ms)
+    endpoints.apply(facts, true, Origin::Change, now_ms)
 }
 
 impl World {
-    fn new(hear: Hear) -> Self {
+    fn new(apply_entry: ApplyEntry) -> Self {
         let mut world = Self {
             log: Vec::new(),
             era: 1,
-            states: vec![(1, State::Ready); PLACES],
-            endpoints: Endpoints::new(GRACE_MS),
+            states: vec![(1, State::Ready); ENDPOINT_COUNT],
+            endpoints: Endpoints::new(EXPIRY_GRACE_MS),
             cursor: None,
-            heard_out: HashSet::new(),
+            known_ended: HashSet::new(),
             known: HashSet::new(),
             now_ms: 0,
-            hear,
+            apply_entry,
         };
-        (0..PLACES).for_each(|place| world.write(place));
+        (0..ENDPOINT_COUNT).for_each(|index| world.write(index));
         world.read();
         world
     }
 
-    fn facts(&self, place: usize) -> EndpointFacts {
-        let (born_ms, state) = self.states[place];
+    fn facts(&self, index: usize) -> EndpointFacts {
+        let (born_ms, state) = self.states[index];
         EndpointFacts {
             incarnation: Incarnation {
-                id: format!("i-{place}"),
+                id: format!("i-{index}"),
                 born_ms: Some(born_ms),
             },
             service: "desk".to_string(),
-            address: SocketAddr::from(([127, 0, 0, 1], 1 + place as u16)),
+            address: SocketAddr::from(([127, 0, 0, 1], 1 + index as u16)),
             zone: "north".to_string(),
             slots: 4,
             is_leaving: state == State::Leaving,
         }
     }
 
-    fn write(&mut self, place: usize) {
-        let facts = self.facts(place);
-        let is_there = self.states[place].1 != State::Gone;
+    fn write(&mut self, index: usize) {
+        let facts = self.facts(index);
+        let is_there = self.states[index].1 != State::Gone;
         let id = facts.incarnation.id.clone();
         self.log.push((id, is_there.then_some(facts)));
     }
 
-    fn play(&mut self, event: &Event) {
+    fn apply(&mut self, event: &Event) {
         self.now_ms += 400;
         match *event {
-            Event::Leaves(place) if self.states[place].1 == State::Ready => {
-                self.states[place].1 = State::Leaving;
-                self.write(place);
+            Event::Leave(index) if self.states[index].1 == State::Ready => {
+                self.states[index].1 = State::Leaving;
+                self.write(index);
             }
-            Event::Goes(place) if self.states[place].1 != State::Gone => {
-                self.states[place].1 = State::Gone;
-                self.write(place);
+            Event::Remove(index) if self.states[index].1 != State::Gone => {
+                self.states[index].1 = State::Gone;
+                self.write(index);
             }
-            Event::Starts(place) if self.states[place].1 == State::Gone => {
-                self.states[place] = (self.states[place].0 + 1, State::Ready);
-                self.write(place);
+            Event::Start(index) if self.states[index].1 == State::Gone => {
+                self.states[index] = (self.states[index].0 + 1, State::Ready);
+                self.write(index);
             }
-            Event::RollsBack(writes) => {
-                let kept = self.log.len().saturating_sub(writes).max(PLACES);
+            Event::RollBack(writes) => {
+                let kept = self.log.len().saturating_sub(writes).max(ENDPOINT_COUNT);
                 self.log.truncate(kept);
                 self.era += 1;
             }
-            Event::WritesAgain(place) if self.states[place].1 != State::Gone => self.write(place),
-            Event::Reads => self.read(),
+            Event::Rewrite(index) if self.states[index].1 != State::Gone => self.write(index),
+            Event::Read => self.read(),
             _ => {}
         }
     }
@@ -166,10 +166,10 @@
             .collect();
         let leaving = fleet.by_key.values().filter(|e| e.facts.is_leaving);
         let leaving = leaving.map(|e| e.facts.incarnation.clone());
-        self.heard_out.extend(leaving);
+        self.known_ended.extend(leaving);
         // What isn't listed may have lapsed for a while; once it is dropped it has gone.
         let dropped = self.known.difference(&known).cloned();
-        self.heard_out.extend(dropped);
+        self.known_ended.extend(dropped);
         self.known = known;
     }
 
@@ -177,25 +177,25 @@
         let changes: Vec<_> = self.log[from..].to_vec();
         for (id, facts) in changes {
             let Some(facts) = facts else {
-                self.endpoints.miss(&id, self.now_ms);
+                self.endpoints.mark_missing(&id, self.now_ms);
                 continue;
             };
             if !facts.is_leaving {
                 // It lives: whoever was taken to have gone has written again.
-                self.heard_out.remove(&facts.incarnation);
+                self.known_ended.remove(&facts.incarnation);
             }
-            self.take(facts, Origin::Written);
+            self.take(facts, Origin::Change);
         }
     }
 
     /// Takes word of an endpoint; whether it is taken shows in what is used.
     fn take(&mut self, facts: EndpointFacts, origin: Origin) {
-        let _ = (self.hear)(&mut self.endpoints, facts, origin, self.now_ms);
+        let _ = (self.apply_entry)(&mut self.endpoints, facts, origin, self.now_ms);
     }
 
     fn read_all(&mut self, is_rollback: bool) {
         if is_rollback {
-            self.endpoints.rolled_back(self.now_ms);
+            self.endpoints.note_rollback(self.now_ms);
         }
         let mut rows: BTreeMap<String, EndpointFacts> = BTreeMap::new();
         for (id, facts) in self.log.clone() {
@@ -207,11 +207,11 @@
         let updates: Vec<Update> = rows.into_values().map(Update::Endpoint).collect();
         for update in updates.clone() {
             if let Update::Endpoint(facts) = update {
-                self.take(facts, Origin::Listed);
+                self.take(facts, Origin::Snapshot);
             }
         }
-        let listed = Endpoints::listed(&updates);
-        self.endpoints.miss_all(&listed, self.now_ms);
+        let listed = Endpoints::listed_ids(&updates);
+        self.endpoints.mark_missing_except(&listed, self.now_ms);
     }
 
     fn used(&self) -> HashSet<Incarnation> {
@@ -222,33 +222,33 @@
     }
 
     /// Whether nothing is used that was heard to leave or to end, lives that were born since aside.
-    fn keeps_what_it_heard(&self) -> bool {
-        self.used().is_disjoint(&self.heard_out)
+    fn ignores_known_ended(&self) -> bool {
+        self.used().is_disjoint(&self.known_ended)
     }
 
     /// All that live have written again, entries of the others have lapsed, and the gateway has read.
     fn settle(&mut self) {
-        (0..PLACES).for_each(|place| self.write(place));
+        (0..ENDPOINT_COUNT).for_each(|index| self.write(index));
         for _ in 0..3 {
-            self.now_ms += GRACE_MS;
+            self.now_ms += EXPIRY_GRACE_MS;
             self.read();
         }
     }
 
     fn living(&self) -> HashSet<Incarnation> {
-        let ready = (0..PLACES).filter(|place| self.states[*place].1 == State::Ready);
-        ready.map(|place| self.facts(place).incarnation).collect()
+        let ready = (0..ENDPOINT_COUNT).filter(|index| self.states[*index].1 == State::Ready);
+        ready.map(|index| self.facts(index).incarnation).collect()
     }
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        2 => (0..PLACES).prop_map(Event::Leaves),
-        2 => (0..PLACES).prop_map(Event::Goes),
-        2 => (0..PLACES).prop_map(Event::Starts),
-        2 => (1..8_usize).prop_map(Event::RollsBack),
-        3 => (0..PLACES).prop_map(Event::WritesAgain),
-        6 => prop::strategy::Just(Event::Reads),
+        2 => (0..ENDPOINT_COUNT).prop_map(Event::Leave),
+        2 => (0..ENDPOINT_COUNT).prop_map(Event::Remove),
+        2 => (0..ENDPOINT_COUNT).prop_map(Event::Start),
+        2 => (1..8_usize).prop_map(Event::RollBack),
+        3 => (0..ENDPOINT_COUNT).prop_map(Event::Rewrite),
+        6 => prop::strategy::Just(Event::Read),
     ]
 }
 
@@ -257,11 +257,11 @@
 }
 
 /// Whether no word that was heard is taken back on the way, and all that live, and no others, are used in the end.
-fn holds(history: &[Event], hear: Hear) -> bool {
-    let mut world = World::new(hear);
+fn is_consistent(history: &[Event], apply_entry: ApplyEntry) -> bool {
+    let mut world = World::new(apply_entry);
     for event in history {
-        world.play(event);
-        if !world.keeps_what_it_heard() {
+        world.apply(event);
+        if !world.ignores_known_ended() {
             return false;
         }
     }
@@ -272,7 +272,7 @@
 proptest! {
     #[test]
     fn what_was_heard_goes_before_the_copy_and_nobody_is_lost(history in history()) {
-        prop_assert!(holds(&history, hear));
+        prop_assert!(is_consistent(&history, apply_entry));
     }
 }
 
@@ -283,7 +283,7 @@
         ..Config::default()
     });
     let found = runner.run(&history(), |history| {
-        prop_assert!(holds(&history, hear_the_copy));
+        prop_assert!(is_consistent(&history, apply_as_change));
         Ok(())
     });
     assert!(found.is_err());
--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -184,7 +184,7 @@
     let factory = StoreFactory {
         address: store.clone(),
     };
-    published.put_live(plan.live);
+    published.put_live_settings(plan.live);
     let tallies = follow::Tallies {
         bad_rows: metrics.bad_rows.clone(),
         store_calls: metrics.store_calls.clone(),
@@ -280,7 +280,7 @@
             log::warn!("other addresses to listen on need a restart; the rest is taken");
         }
         let plan = options(&settings);
-        self.published.put_live(plan.live);
+        self.published.put_live_settings(plan.live);
         self.store.set(plan.store);
         self.settings = settings;
     }
