--- a/crates/mgs-relay/src/bad_rows.rs
+++ b/crates/mgs-relay/src/bad_rows.rs
@@ -1,5 +1,5 @@
-//! Rows of the store that name nothing to use, as other writers may leave them: each is told once, and again when what
-//! is wrong with it changes.
+//! Logs rows of the store that can't be used, as other writers may leave them: each row once, and
+//! again when its fault changes.
 
 use std::collections::HashMap;
 
@@ -9,14 +9,14 @@
 use crate::source::RowFault;
 use crate::source::Topic;
 
-/// Rows that are remembered as told; beyond that all may be told again, so that a writer of ever new keys can't fill
-/// a host's memory.
+/// Maximum number of rows remembered as logged. Beyond it all of them may be logged again, so that
+/// a writer of ever new keys can't fill a host's memory.
 const LOGGED_MAX: usize = 10_000;
 
-/// Most of a key that is told, in characters.
+/// Maximum length of a key in the log, in characters.
 const KEY_CHARS_MAX: usize = 200;
 
-/// One row.
+/// A row that can't be used.
 #[derive(Debug)]
 pub(crate) struct BadRow<'a> {
     pub(crate) key: &'a str,
@@ -26,7 +26,7 @@
 }
 
 impl<'a> BadRow<'a> {
-    /// One that can be read, and that isn't taken for what it says beside others.
+    /// A row that can be parsed but is rejected for its content, with no further detail.
     pub(crate) fn without_detail(key: &'a str, fault: RowFault) -> Self {
         Self {
             key,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The rows of one topic that have been told.
+/// The rows of one topic that were logged and aren't usable yet.
 #[derive(Debug)]
 pub(crate) struct BadRows {
     logged: HashMap<String, RowFault>,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A row names nothing to use.
+    /// Logs and counts a row that can't be used, unless it was logged for the same fault before.
     pub(crate) fn report(&mut self, topic: Topic, row: &BadRow<'_>) {
         if self.logged.len() >= LOGGED_MAX {
             self.logged.clear();
@@ -75,14 +75,14 @@
         );
     }
 
-    /// A row can be used, or is gone.
+    /// Records that a row can be used again, or was removed.
     pub(crate) fn clear(&mut self, topic: Topic, key: &str) {
         if self.logged.remove(key).is_some() {
             log::info!(topic = topic.name(), key = key; "a row of the store is right again or gone");
         }
     }
 
-    /// All rows can be used.
+    /// Records that all rows can be used again.
     pub(crate) fn clear_all(&mut self, topic: Topic) {
         let logged = std::mem::take(&mut self.logged);
         for key in logged.keys() {
--- a/crates/mgs-relay/src/broadcast.rs
+++ b/crates/mgs-relay/src/broadcast.rs
@@ -1,5 +1,5 @@
-//! What this gateway tells its peers: what it places at once, at most every few milliseconds, and all that it holds a few
-//! times a second.
+//! Sends this gateway's state to its peers: short messages with new work at once, at most one every
+//! few milliseconds, and a whole message with all that it holds a few times a second.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -26,19 +26,21 @@
 use crate::traffic::TrafficKind;
 use crate::view::Fleet;
 
-/// Least time between two messages: what is placed meanwhile goes together.
+/// Minimum time between two messages; what is placed meanwhile is sent together.
 pub(crate) const SEND_INTERVAL_MIN: Duration = Duration::from_millis(15);
 
 /// Time between two whole messages.
 const WHOLE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Longest message; larger ones would be cut into fragments, all of which must arrive.
+/// Maximum size of a message, in bytes. Larger datagrams would be fragmented, and the loss of one
+/// fragment loses them all.
 pub(crate) const MESSAGE_BYTES_MAX: usize = 1_400;
 
-/// Whole messages go to all listed gateways each so many messages, else to those heard of late.
+/// Every so many whole messages, one is sent to all listed gateways, the others only to those heard
+/// recently.
 const WHOLE_TO_ALL_EVERY: u64 = 4;
 
-/// Tells peers until the process ends.
+/// Sends messages to peers until the process ends.
 pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, peer_table: Rc<RefCell<PeerTable>>) {
     let mut broadcaster = Broadcaster {
         core,
@@ -64,19 +66,19 @@
     }
 }
 
-/// Tells peers.
+/// Builds and sends the messages.
 struct Broadcaster {
     core: Rc<Core>,
     socket: Rc<UdpSocket>,
     peer_table: Rc<RefCell<PeerTable>>,
-    /// Number of the last message.
+    /// Sequence number of the last message.
     sequence: u64,
-    /// Whole messages so far.
+    /// Number of whole messages sent.
     wholes_sent: u64,
 }
 
 impl Broadcaster {
-    /// Tells all that this gateway holds and knows.
+    /// Sends all that this gateway holds and what it knows of the store.
     async fn send_whole(&mut self) {
         let beacon = self.next_beacon(true);
         let core = &self.core;
@@ -92,14 +94,14 @@
         };
         let held = core.board.borrow().own();
         add_held(&mut beacon, &core.published.fleet(), held);
-        // Silent ones hear from us about once a second.
+        // Silent peers are sent a message about once a second.
         let to_all = self.wholes_sent.is_multiple_of(WHOLE_TO_ALL_EVERY);
         self.send(&encode_to_fit(beacon), to_all, TrafficKind::WholeMessages)
             .await;
         self.wholes_sent += 1;
     }
 
-    /// Tells what this gateway holds more since it was last told.
+    /// Sends what this gateway has come to hold since the last message.
     async fn send_short(&mut self) {
         let mut beacon = self.next_beacon(false);
         let held = self.core.unreported_held.take();
@@ -108,7 +110,7 @@
             .await;
     }
 
-    /// A message with what each of them has, whole ones and others.
+    /// Starts a message with the fields that whole and short ones share.
     fn next_beacon(&mut self, is_whole: bool) -> Beacon {
         let core = &self.core;
         self.sequence += 1;
@@ -146,7 +148,7 @@
     }
 }
 
-/// Refusals to help that peers are told of.
+/// Refusals to help that are to be reported: new ones, or all of them.
 fn refusals(core: &Core, fleet: &Fleet, is_all: bool) -> Vec<RefusedAt> {
     let (now_ms, confirmed_ms) = (core.now_whole_ms(), core.fleet_confirmed_ms());
     let told = core
@@ -162,7 +164,7 @@
     told.into_iter().filter_map(refused_at).collect()
 }
 
-/// Sends a message to peers. One that can't be told is told the next time.
+/// Sends a message to peers. A failure is logged and counted, but not returned, since the next message supersedes this one.
 pub(crate) async fn send_to(
     core: &Core,
     socket: &UdpSocket,
@@ -174,7 +176,7 @@
     for peer in peers {
         if let Err(error) = socket.send_to(message, peer).await {
             core.metrics.peer_faults.inc();
-            log::debug!(peer:% = peer, error:% = error; "a peer can't be told");
+            log::debug!(peer:% = peer, error:% = error; "a message can't be sent to a peer");
         }
     }
 }
@@ -187,25 +189,25 @@
     }
 }
 
-/// A message as it is sent.
+/// Encodes a message.
 pub(crate) fn encode(message: &Message) -> Vec<u8> {
     bincode::serde::encode_to_vec(message, bincode::config::standard())
         .expect("BUG: a message is plain data")
 }
 
-/// A message that fits a datagram.
+/// Encodes a message so that it fits a datagram.
 fn encode_to_fit(mut beacon: Beacon) -> Vec<u8> {
     loop {
         let message = Message::Beacon(Box::new(beacon));
         let encoded = encode(&message);
         let Message::Beacon(boxed) = message else {
-            unreachable!("it was made as one")
+            unreachable!("the message was built as a beacon")
         };
         beacon = *boxed;
         if encoded.len() <= MESSAGE_BYTES_MAX || beacon.held.is_empty() {
             return encoded;
         }
-        // The endpoints named last are left out; peers see them as less loaded for a moment.
+        // The last endpoints are left out; peers see them as less loaded until a later message.
         let kept = beacon.held.len() * 3 / 4;
         beacon.held.truncate(kept);
         beacon.reads.truncate(kept.max(1));
--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -1,4 +1,5 @@
-//! What all requests of a relay share. One thread owns it.
+//! State shared by all requests and background tasks of one relay. A single thread owns it, hence
+//! the `Cell`s and `RefCell`s.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -36,10 +37,12 @@
 use crate::view::Endpoint;
 use crate::view::Published;
 
-/// Peers below which all of them are told of each change at once: the bytes grow with the square of the gateways.
+/// Number of peers below which every change is broadcast to all of them at once: the bytes sent
+/// grow with the square of the number of gateways.
 const FEW_PEERS: usize = 12;
 
-/// Reading placed here that peers haven't been told of.
+/// Prompt reading (prefill) that this gateway has placed on an endpoint and not yet reported to its
+/// peers.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UnreportedRead {
     pub(crate) endpoint: EndpointKey,
@@ -47,33 +50,33 @@
     pub(crate) reads: Reads,
 }
 
-/// The shared state.
+/// The shared state of one relay.
 pub(crate) struct Core {
     pub(crate) options: Options,
     pub(crate) dialect: Box<dyn Dialect>,
     pub(crate) published: Arc<Published>,
     pub(crate) board: RefCell<Board>,
     pub(crate) unreported_reads: RefCell<Vec<UnreportedRead>>,
-    /// What this gateway holds more since peers were last told.
+    /// What this gateway has come to hold on endpoints since its last report to peers.
     pub(crate) unreported_held: RefCell<Vec<(EndpointKey, Held)>>,
-    /// Whether peers are to be told all that this gateway holds at once.
+    /// Whether the next report to peers must be a whole one and must go out at once.
     pub(crate) whole_wanted: Cell<bool>,
-    /// Wakes the one who tells peers: something was placed, or the line has changed.
+    /// Wakes the broadcast task: work was placed, or the queue of waiting prompts has changed.
     pub(crate) board_changed: Notify,
-    /// Prompts that wait for their turn here, by number.
+    /// Prompts queued at this gateway for their turn, by serial number.
     pub(crate) waiting: RefCell<HashMap<u64, Score>>,
-    /// Short prompts that wait here for a spare place, by number.
+    /// Short prompts queued at this gateway for a spare place on an engine, by serial number.
     pub(crate) waiting_for_spare: RefCell<BTreeSet<u64>>,
     pub(crate) spare: RefCell<Spare>,
-    /// How often long prompts of each length came here and were sent.
+    /// How many long prompts of each length arrived at this gateway and how many of them were sent.
     pub(crate) lengths: RefCell<Lengths>,
     pub(crate) outliers: Outliers,
-    /// Endpoints that refuse to read parts of others' prompts.
+    /// Endpoints that refuse to read parts of prompts that other endpoints answer.
     pub(crate) helpers: RefCell<Helpers>,
-    /// What endpoints ask of those that send them requests.
+    /// Rate limits, pauses and shutdown notices that endpoints ask their senders to observe.
     pub(crate) backpressure: RefCell<Table>,
     pub(crate) budget: RefCell<Budget>,
-    /// Looks under way whether an endpoint has ended.
+    /// Probes in flight that check whether an endpoint's process has ended.
     pub(crate) looks: RefCell<Looks>,
     pub(crate) crashes: Crashes,
     pub(crate) metrics: Metrics,
@@ -81,11 +84,12 @@
     pub(crate) drain: Drain,
     pub(crate) gateway_count: RefCell<GatewayCount>,
     pub(crate) random: RefCell<ChaCha8Rng>,
-    /// Last number given to something of this process.
-    pub(crate) last_id: Cell<u64>,
-    /// Availability zone of this gateway, as peers are told it.
+    /// Serial number given out last, see [`Core::next_serial`].
+    pub(crate) last_serial: Cell<u64>,
+    /// Availability zone of this gateway, in the form sent to peers.
     pub(crate) zone: ZoneKey,
-    /// This process, among its predecessors and peers.
+    /// Random identifier of this run of the process; distinguishes it from earlier runs and from
+    /// peers.
     pub(crate) incarnation: u64,
 }
 
@@ -94,19 +98,20 @@
         self.published.now_exact_ms()
     }
 
-    /// The same in whole milliseconds, for beliefs that are kept for long.
+    /// The same clock in whole milliseconds, for long-lived records.
     pub(crate) fn now_whole_ms(&self) -> u64 {
         self.published.now_ms()
     }
 
-    /// When the store last confirmed which endpoints are listed, in milliseconds, here or at a peer.
+    /// When the store last confirmed the list of endpoints, to this gateway or to a peer, in
+    /// milliseconds of this process's clock; `None` if it never did.
     pub(crate) fn fleet_confirmed_ms(&self) -> Option<u64> {
         let age_ms = self.published.fleet_age_ms()?;
         Some(self.now_whole_ms().saturating_sub(age_ms))
     }
 
-    /// An endpoint refused to help with a prompt; answers why, as far as it shows. `is_reserved`: whether memory was
-    /// reserved there for it.
+    /// Records that an endpoint refused to read a part of a prompt, and returns the likely reason.
+    /// `is_reserved` says whether memory had been reserved at the endpoint for that prompt.
     pub(crate) fn help_refused(&self, endpoint: &Endpoint, is_reserved: bool) -> Reason {
         let parts = u32::from(self.board.borrow().held(endpoint.key).parts);
         let reason = match (parts >= endpoint.facts.slots, is_reserved) {
@@ -123,14 +128,14 @@
         reason
     }
 
-    /// A number that nothing else of this process has.
-    pub(crate) fn next_id(&self) -> u64 {
-        let id = self.last_id.get() + 1;
-        self.last_id.set(id);
-        id
+    /// Returns a serial number that is unique within this process.
+    pub(crate) fn next_serial(&self) -> u64 {
+        let serial = self.last_serial.get() + 1;
+        self.last_serial.set(serial);
+        serial
     }
 
-    /// A number from 0 up to `below`.
+    /// Returns a random integer in `0..below`, or 0 if `below` is 0.
     pub(crate) fn random_below(&self, below: u32) -> u32 {
         if below == 0 {
             return 0;
@@ -138,12 +143,13 @@
         self.random.borrow_mut().next_u32() % below
     }
 
-    /// A number from 0 up to 1.
+    /// Returns a random number in `[0, 1)`.
     pub(crate) fn random_unit(&self) -> f64 {
         f64::from(self.random.borrow_mut().next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// Reading was placed by this gateway.
+    /// Records prompt reading that this gateway has placed on an endpoint, and queues it for the
+    /// next report to peers.
     pub(crate) fn place_read(&self, endpoint: EndpointKey, read_ms: f64, reads: Reads) {
         let now_ms = self.now_ms();
         self.board.borrow_mut().read(endpoint, now_ms, read_ms);
@@ -155,32 +161,34 @@
         self.board_changed.notify_one();
     }
 
-    /// Whether telling all peers at each change costs little.
+    /// Whether there are few enough peers to broadcast every change to all of them.
     pub(crate) fn has_few_peers(&self) -> bool {
         self.board.borrow().peers() < FEW_PEERS
     }
 
-    /// Endpoints are free again for whom peers may wait.
+    /// Requests a whole report to peers, since endpoints that peers may be waiting for are free
+    /// again.
     pub(crate) fn announce_freed(&self) {
         self.whole_wanted.set(true);
         self.board_changed.notify_one();
     }
 
-    /// Who goes first among the prompts that wait here.
+    /// The scores of the prompts that are first in the queue of this gateway.
     pub(crate) fn first_waiting(&self) -> Firsts {
         let waiting = self.waiting.borrow();
         let scores = waiting.values();
         scores.fold(Firsts::default(), |firsts, score| firsts.with(*score))
     }
 
-    /// How often prompts of a length are sent beside all others, by all gateways.
+    /// The rate at which prompts of a length band are sent relative to all other bands, over all
+    /// gateways.
     pub(crate) fn sent_ratio(&self, band: Band) -> f64 {
         let mut counts = self.lengths.borrow().counts(self.now_ms());
         self.board.borrow().add_lengths(&mut counts);
         counts.ratio(band)
     }
 
-    /// How many gateways share what all may spend, if that is known.
+    /// Number of gateways that share fleet-wide budgets, or `None` while it isn't known.
     pub(crate) fn gateways_sharing(&self) -> Option<usize> {
         let mut gateway_count = self.gateway_count.borrow_mut();
         if let Some(listed) = self.published.listed_gateways() {
@@ -189,7 +197,7 @@
         gateway_count.gateways_sharing()
     }
 
-    /// Takes one second try of the budget.
+    /// Takes one retry from the retry budget of a service; returns whether there was one left.
     pub(crate) fn take_retry(&self, service: &str) -> bool {
         let now_ms = self.now_ms();
         let gateways = self.gateways_sharing();
--- a/crates/mgs-relay/src/crash_gossip.rs
+++ b/crates/mgs-relay/src/crash_gossip.rs
@@ -1,8 +1,9 @@
-//! How gateways tell each other of requests that crash endpoints.
+//! Exchange of reports on requests that crash endpoints between gateways.
 //!
-//! What makes a verdict graver goes to all peers at once, and once more later, since datagrams get lost; what makes it milder waits
-//! a moment. Each second one peer drawn by lot is told all that is grave, so that one that was cut off learns it too, and
-//! a peer that is heard for the first time is told it at once.
+//! A report that makes a verdict more severe is sent to all peers at once, and once more later,
+//! since datagrams get lost. A report that makes it milder waits for the next interval. Every
+//! second, one random peer is sent all severe verdicts, so that a peer that was cut off learns them
+//! too. A peer that is heard for the first time is sent them at once.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,13 +24,13 @@
 use crate::peers::PeerTable;
 use crate::traffic::TrafficKind;
 
-/// Longest wait before what isn't urgent is told, and between what is urgent and its repetition.
+/// Longest delay of a report that isn't urgent, and the delay before an urgent one is repeated.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two peers that are told all that is grave.
+/// Time between sending all severe verdicts to one random peer and to the next.
 const RANDOM_PEER_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tells peers until the process ends.
+/// Sends reports until the process ends.
 pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, peer_table: Rc<RefCell<PeerTable>>) {
     let mut repeated: Vec<WorkKey> = Vec::new();
     let mut random_peer_at = Instant::now() + RANDOM_PEER_INTERVAL;
@@ -40,7 +41,7 @@
     };
     loop {
         let waiting = gossip.core.crashes.urgent.notified();
-        // Whether something is urgent or time is up, what is new is told.
+        // Changes are sent both when something is urgent and when the interval is over.
         let is_urgent = timeout(REPEAT_INTERVAL, waiting).await.is_ok();
         gossip.send_to_newcomers().await;
         let changed = gossip.core.crashes.take_fresh();
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Tells peers that have just started, or were cut off, all that is grave.
+    /// Sends all severe verdicts to peers that have just started or were cut off.
     async fn send_to_newcomers(&self) {
         let newcomers = self.core.crashes.newcomers.take();
         if !newcomers.is_empty() {
@@ -104,7 +105,7 @@
     }
 }
 
-/// Messages that fit a datagram each.
+/// Encodes reports as messages that fit a datagram each.
 fn split_into_messages(from: u64, works: Vec<Told>) -> Vec<Vec<u8>> {
     let mut messages = Vec::new();
     let mut rest = works;
--- a/crates/mgs-relay/src/dispatch_outcome.rs
+++ b/crates/mgs-relay/src/dispatch_outcome.rs
@@ -1,18 +1,19 @@
-//! What a dispatch shows of its endpoints: remembered for the next ones, and told in a line.
+//! Records what the outcome of a dispatch says about its endpoints, and logs it.
 
 use crate::attempt::Ended;
 use crate::place::Placed;
 use crate::pursue::Pursuit;
 use crate::view::Endpoint;
 
-/// How a dispatch ended that a helper refused.
+/// Outcome of a dispatch that failed because a helper refused.
 pub(crate) const HELPER_REFUSED: &str = "helper_refused";
 
-/// A helper that refuses after this time, in milliseconds, is dead or cut off: the engine had waited for it.
+/// Time in milliseconds after which a helper's refusal means that it is dead or cut off: the engine
+/// had waited for it.
 const STALLED_MS: u64 = 1_000;
 
 impl Pursuit {
-    /// Remembers what the dispatch shows of its endpoint, and says so.
+    /// Records what the dispatch shows of its endpoint, and logs the outcome.
     pub(crate) fn record_outcome(&self, placed: &Placed, ended: &Ended, took_ms: u64) {
         let core = &self.core;
         let now_ms = core.now_whole_ms();
@@ -90,7 +91,8 @@
         );
     }
 
-    /// The same end, told apart if it names a helper of the dispatch as being at fault.
+    /// Turns the outcome into [`Ended::Unhelped`] if it names a helper of this dispatch as being at
+    /// fault.
     pub(crate) fn with_helper_at_fault(&self, placed: &Placed, ended: Ended) -> Ended {
         let Ended::NotRun {
             at_fault: Some(address),
@@ -115,8 +117,8 @@
         }
     }
 
-    /// An endpoint refused to help: the next prompts leave it out, here and at the other gateways. What it answers to
-    /// its own requests isn't touched by that, unless it is dead.
+    /// Records that an endpoint refused to help: the next prompts leave it out, at this gateway and
+    /// at the others. Requests sent to it directly aren't affected, unless it seems dead.
     fn record_help_refusal(&self, helper: &Endpoint, is_reserved: bool, took_ms: u64) {
         let core = &self.core;
         let reason = core.help_refused(helper, is_reserved);
--- a/crates/mgs-relay/src/follow.rs
+++ b/crates/mgs-relay/src/follow.rs
@@ -1,8 +1,8 @@
-//! Follows the store on a thread of its own and publishes what is in force.
+//! Follows the store on a thread of its own and publishes the configuration and the fleet.
 //!
-//! Each topic is read as a whole once and then by its changes. A reading that fails is repeated; what is
-//! known stays in force meanwhile. A history that the store has dropped is replaced by a whole reading. A
-//! configuration never goes back, whatever is read.
+//! Each topic is read in full once and then by its changes. A failed read is retried; what is known
+//! stays in force meanwhile. If the store has compacted the history that a read asks for, the topic
+//! is read in full again. The version of the configuration never decreases, whatever is read.
 
 mod apply;
 
@@ -41,46 +41,56 @@
 
 pub use crate::calls::Tallies;
 
-/// Settings of following.
+/// Settings of following the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// Name of this gateway, unique.
+    /// Unique name of this gateway.
     pub name: String,
-    /// Where this gateway hears peers.
+    /// Address on which this gateway receives messages of peers.
     pub peer_address: SocketAddr,
-    /// Peers known from the settings; some may be gone.
+    /// Addresses of peers from the settings, used before the store's list is known. Some of these
+    /// gateways may have ended.
     pub seed_peers: Vec<SocketAddr>,
-    /// Longest wait of the store for a change of configuration or endpoints, in milliseconds, where this
-    /// gateway is a reader or hears nothing fresh from one. An answer each time shows that the connection
-    /// lives. What is confirmed is the moment at which a call began, so what readers know is at most twice
-    /// as old; a call that hangs since an outage is given up 1.5 s later, 3 s after the outage's end at
-    /// the latest, and hosts are held to changes 5 s after it.
+    /// Duration of a long poll for changes of the configuration or the endpoints, in milliseconds,
+    /// while this gateway is a reader or hears no fresh report from one. Each answer, also an empty
+    /// one, shows that the connection works. The time that is confirmed is that at which the call
+    /// began, so what readers know is at most twice this old. A call that hangs since an outage is
+    /// given up 1.5 s later, at the latest 3 s after the end of the outage, and hosts must follow
+    /// changes 5 s after it.
     pub wait_ms: u64,
-    /// The same where peers say often that nothing else is known, in milliseconds. The store allows 30 s;
-    /// half of it, since a call is the only thing that keeps a connection from being forgotten on the way.
+    /// The same while peers report often that nothing else is known, in milliseconds. The store
+    /// allows 30 s; this is half of it, since a call is the only traffic that keeps a connection
+    /// from being dropped on the way.
     pub long_wait_ms: u64,
-    /// The wait for changes among gateways, in milliseconds: new ones make themselves heard.
+    /// Duration of a long poll for changes of the list of gateways, in milliseconds. It may be
+    /// long, since new gateways send messages to their peers.
     pub gateways_wait_ms: u64,
-    /// Wait after a reading that brought newcomers only, in milliseconds: endpoints and gateways start many
-    /// at a time, and each of them would be a call at each gateway. Who leaves or goes is read at once.
+    /// Delay after a read that returned additions only, in milliseconds: endpoints and gateways
+    /// start many at a time, and each start would otherwise cost every gateway a call. Shutdowns
+    /// and removals cause no delay.
     pub gather_ms: u64,
-    /// Wait after any other reading that brought something, in milliseconds, where the gateway isn't a reader and there
-    /// are many: changes that follow each other cost one call for each wait then, not one each. 0 for none.
+    /// Delay after any read that returned something, in milliseconds, if there are many gateways
+    /// and this one isn't a reader: successive changes then cost one call per delay instead of one
+    /// each. 0 for none.
     pub gather_all_ms: u64,
-    /// Gateways from which on that is done: a few cost the store little.
+    /// Number of gateways from which on `gather_all_ms` applies; a few gateways cost the store
+    /// little.
     pub gather_all_from: usize,
-    /// Wait after a reading that failed, in milliseconds.
+    /// Delay after a failed read, in milliseconds.
     pub retry_ms: u64,
-    /// The same where readers say when the store is back, in milliseconds.
+    /// Delay after a failed read at a gateway that isn't a reader, in milliseconds: readers report
+    /// when the store is back.
     pub long_retry_ms: u64,
-    /// How long the first reading may take before peers are asked, in milliseconds: a slow store takes some
-    /// hundred, and without a configuration nobody is served.
+    /// Time that the first read may take before peers are asked for their state, in milliseconds. A
+    /// slow store takes some hundred milliseconds, and without a configuration no request is
+    /// served.
     pub bootstrap_delay_ms: u64,
-    /// Time over which gateways spread their readings of all that there is, where many would read at once, in
+    /// Time over which gateways spread their full reads where many would read at once, in
     /// milliseconds.
     pub reread_jitter_ms: u64,
-    /// How long after an outage endpoints that aren't listed any more are still used, in milliseconds:
-    /// their entries may have lapsed in the outage, and those that live are back within two seconds.
+    /// How long after an outage endpoints that aren't listed any more are still used, in
+    /// milliseconds. Their entries may have expired during the outage; live endpoints write theirs
+    /// again within two seconds.
     pub expiry_grace_ms: u64,
 }
 
@@ -105,7 +115,7 @@
     }
 }
 
-/// Starts to follow; the thread lives as long as the process.
+/// Starts the thread that follows the store; it runs as long as the process.
 pub fn start(
     options: Options,
     factory: Box<dyn SourceFactory>,
@@ -151,12 +161,13 @@
     thread.spawn(body).map(|_| ())
 }
 
-/// Lists this gateway, unless it is listed from an earlier life, and follows the others.
+/// Writes this gateway's entry, unless an entry from an earlier run is still valid, and follows the
+/// list of gateways.
 async fn follow_gateways(mut follower: Follower, mut source: Box<dyn Source>) {
     let seed_peers = follower.options.seed_peers.clone();
     follower.published.put_peers(seed_peers);
     while let Err(error) = follower.register_if_unlisted(source.as_mut()).await {
-        log::warn!(error:% = error; "this gateway can't be listed");
+        log::warn!(error:% = error; "this gateway's entry can't be written");
         sleep(Duration::from_millis(follower.options.retry_ms)).await;
     }
     follow(follower, source).await;
@@ -174,7 +185,8 @@
     }
 }
 
-/// Writes to the store what is held, until the process ends; what can't be written now is written when the store is back.
+/// Writes quarantined works to the store until the process ends. What can't be written is retried
+/// after a delay, unless something newer is to be written for the same work by then.
 async fn write_holds(
     options: Options,
     published: Arc<Published>,
@@ -201,28 +213,29 @@
     }
 }
 
-/// Whether a batch tells of endpoints that are gone.
+/// Whether a batch reports endpoints that were removed.
 fn has_removed_endpoints(batch: &Batch) -> bool {
     let is_gone = |update: &Update| matches!(update, Update::EndpointGone { .. });
     batch.updates.iter().any(is_gone)
 }
 
-/// What is known of one topic.
+/// Follows one topic.
 struct Follower {
     topic: Topic,
     options: Options,
     published: Arc<Published>,
-    /// Up to where all changes are known.
+    /// Revision up to which all changes are known.
     revision: Option<Revision>,
-    /// The era of the last reading.
+    /// Era of the last read.
     era: Option<u64>,
-    /// When all is to be read again, in milliseconds: what an older copy listed has lapsed by then, or lives.
+    /// When the topic must be read in full again, in milliseconds. By then, the entries of a
+    /// restored older copy have expired unless their endpoints are alive.
     read_all_at_ms: Option<u64>,
-    /// Whether this gateway isn't listed any more and has to list itself again.
+    /// Whether the store has lost this gateway's entry, so that it must be written again.
     needs_registration: bool,
-    /// Since when the store can't be read for it, in milliseconds.
+    /// Time since which the topic can't be read, in milliseconds.
     store_lost_since_ms: Option<u64>,
-    /// Whether a peer knows better than the call that waited.
+    /// Whether the last long poll was given up because a peer had newer content.
     wait_was_aborted: bool,
     endpoints: Rc<RefCell<Endpoints>>,
     gateways: HashMap<String, SocketAddr>,
@@ -257,7 +270,8 @@
         }
     }
 
-    /// How fresh the topic is; gateways tell of themselves.
+    /// The freshness of the topic; `None` for the gateways, which make themselves known by their
+    /// messages.
     fn freshness(&self) -> Option<&Freshness> {
         match self.topic {
             Topic::Configuration => Some(self.published.configuration_freshness()),
@@ -266,7 +280,8 @@
         }
     }
 
-    /// Reads the gateways, and adds this one if it isn't listed where it is.
+    /// Reads the list of gateways, and writes this gateway's entry if it isn't listed at its
+    /// address.
     async fn register_if_unlisted(&mut self, source: &mut dyn Source) -> Result<(), SourceError> {
         let start_ms = self.published.now_ms();
         self.calls.count(Reason::Whole);
@@ -280,7 +295,8 @@
         source.register(&self.options.name, own).await
     }
 
-    /// Reads all, or waits for changes; `None` if the wait was given up, since a peer knows better.
+    /// Reads the topic in full, or waits for changes. Returns `None` if the wait was given up
+    /// because a peer has newer content.
     async fn read(&mut self, source: &mut dyn Source) -> Option<Result<Batch, SourceError>> {
         let now_ms = self.published.now_ms();
         if self.read_all_at_ms.is_some_and(|at_ms| at_ms <= now_ms) {
@@ -308,14 +324,15 @@
         }
     }
 
-    /// Comes back when a call that waits long isn't to be trusted.
+    /// Completes when a pending long poll shouldn't be relied on any more.
     async fn until_outdated(&self, freshness: &Freshness) {
         loop {
             freshness.notified().await;
             if self.is_stale(freshness) {
                 return;
             }
-            // What a peer has just read is on its way here too, unless this call is dead.
+            // The change that a peer has just read should arrive here too, unless this call's
+            // connection is dead.
             sleep(Duration::from_millis(self.options.gather_ms)).await;
             if freshness.should_abort_wait() {
                 return;
@@ -330,14 +347,14 @@
     fn wait_ms(&mut self) -> u64 {
         let wait_was_aborted = std::mem::take(&mut self.wait_was_aborted);
         if self.store_lost_since_ms.is_some() {
-            // The end of an outage is to be known when it comes, not with the next change.
+            // Detect the end of an outage when it comes, not with the next change.
             return 0;
         }
         let Some(freshness) = self.freshness() else {
             return self.options.gateways_wait_ms;
         };
         if wait_was_aborted || self.is_stale(freshness) {
-            // What has happened until now is to be told apart from what happens next: see `note_store_answered`.
+            // Tell past changes apart from future ones, see `note_store_answered`.
             return 0;
         }
         let longest_ms = match self.published.is_reader() {
@@ -355,7 +372,7 @@
         }
     }
 
-    /// A waiting call was given up.
+    /// Records that a long poll was given up.
     fn note_aborted_wait(&mut self) -> Pause {
         let age_ms = self
             .freshness()
@@ -368,7 +385,7 @@
         Pause::None
     }
 
-    /// Takes a reading.
+    /// Applies the result of a read, and returns the pause before the next one.
     fn handle_read(&mut self, read: Result<Batch, SourceError>, start_ms: u64) -> Pause {
         match read {
             Ok(batch) => {
@@ -383,7 +400,7 @@
                 Pause::Spread
             }
             Err(SourceError::HistoryCompacted) => {
-                log::info!(topic = self.topic.name(); "the store has dropped its history");
+                log::info!(topic = self.topic.name(); "the store has compacted its history");
                 self.note_store_answered(true);
                 self.revision = None;
                 Pause::None
@@ -395,7 +412,7 @@
         }
     }
 
-    /// Whether to wait for more of what a batch tells.
+    /// The pause after a batch, in which further changes may gather.
     fn pause_after(&self, batch: &Batch) -> Pause {
         match self.revision {
             None => Pause::None,
@@ -403,7 +420,8 @@
         }
     }
 
-    /// Whether so many gateways follow the store that this one, which isn't a reader, must not call it at each change.
+    /// Whether there are so many gateways that this one, not being a reader, must not call the
+    /// store at each change.
     fn is_one_of_many(&self) -> bool {
         let are_many = self.published.listed_gateways() >= Some(self.options.gather_all_from);
         are_many && !self.published.is_reader()
@@ -421,15 +439,18 @@
         }
     }
 
-    /// The store answers. `has_removed_endpoints`: whether entries are gone, by this answer, or may be.
+    /// Records that the store answered. `has_removed_endpoints` says whether entries were removed
+    /// by this answer, or may have been.
     fn note_store_answered(&mut self, has_removed_endpoints: bool) {
         let now_ms = self.published.now_ms();
         if self.store_lost_since_ms.is_some() {
             log::info!(topic = self.topic.name(); "the store is back");
         }
-        // An outage may also pass between two calls. But a belief grows old too when those who ask often are silent;
-        // the first call after that waits for nothing, so what it doesn't tell of hasn't lapsed, and what goes
-        // later has left. Taken for an outage each time, endpoints that had left were used for four seconds.
+        // An outage may also begin and end between two calls. But content also becomes stale when
+        // the readers are silent. The first call after that doesn't wait, so entries that it
+        // doesn't report as removed haven't expired, and endpoints removed later have left. When
+        // every stale period was taken for an outage, endpoints that had left were used for four
+        // seconds.
         let unseen_since_ms = self
             .stale_since_ms(now_ms)
             .filter(|_| has_removed_endpoints);
@@ -444,7 +465,7 @@
         self.store_lost_since_ms = None;
     }
 
-    /// When what is known was last confirmed, if that is long ago; nothing is known before the first reading.
+    /// When the known content was last confirmed, if it is stale; `None` before the first read.
     fn stale_since_ms(&self, now_ms: u64) -> Option<u64> {
         let freshness = self
             .freshness()
@@ -453,7 +474,7 @@
         self.revision.map(|_| now_ms.saturating_sub(age_ms))
     }
 
-    /// Lists this gateway again, if the store has lost that.
+    /// Writes this gateway's entry again if the store has lost it.
     async fn register_again(&mut self, source: &mut dyn Source) {
         if !self.needs_registration {
             return;
@@ -462,11 +483,14 @@
         let own = self.options.peer_address;
         match source.register(&self.options.name, own).await {
             Ok(()) => self.needs_registration = false,
-            Err(error) => log::warn!(error:% = error; "this gateway can't be listed again"),
+            Err(error) => {
+                log::warn!(error:% = error; "this gateway's entry can't be written again")
+            }
         }
     }
 
-    /// Time by which this gateway reads later than others where many would read all at once.
+    /// Delay of this gateway's full reads relative to others, where many would read at once.
+    /// Derived from its name.
     fn jitter(&self) -> Duration {
         if !self.is_one_of_many() {
             return Duration::ZERO;
@@ -489,11 +513,12 @@
                 }
                 let more_ms = options.long_retry_ms.saturating_sub(options.retry_ms);
                 let Some(freshness) = self.freshness() else {
-                    // Other gateways make themselves heard; nobody waits for their list.
+                    // Other gateways make themselves known by their messages; their list isn't
+                    // urgent.
                     sleep(Duration::from_millis(more_ms)).await;
                     return;
                 };
-                // Whether there is news or time is up is all the same.
+                // A notification and a timeout have the same effect: the next read.
                 let _ = timeout(Duration::from_millis(more_ms), freshness.notified()).await;
             }
         }
--- a/crates/mgs-relay/src/follow/apply.rs
+++ b/crates/mgs-relay/src/follow/apply.rs
@@ -1,4 +1,4 @@
-//! What a reading of the store changes in what is known of a topic.
+//! Applies the result of a read to what is known of a topic.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::view::Configuration;
 
 impl Follower {
-    /// Takes a reading that was begun at `start_ms`.
+    /// Applies the result of a read that began at `start_ms`.
     pub(super) fn apply(&mut self, batch: Batch, start_ms: u64) {
         for update in &batch.updates {
             self.track_bad_row(update);
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Takes note of the era of a reading; answers whether the store has come back from an older copy since the last one.
+    /// Records the era of a read; returns whether the store has been restored from an older copy
+    /// since the last one.
     fn update_era(&mut self, revision: Revision) -> bool {
         let before = self.era.replace(revision.era);
         let Some(before) = before.filter(|before| *before < revision.era) else {
@@ -55,8 +56,8 @@
         true
     }
 
-    /// Takes the list of gateways of an older copy: those that it lacks list themselves again, and so does this one.
-    /// What is held is written again too.
+    /// Applies the list of gateways of a restored older copy. Gateways that it lacks write their
+    /// entries again, and so does this one; quarantined works are written again too.
     fn apply_rolled_back_gateways(&mut self, updates: Vec<Update>) {
         let is_own = |update: &Update| match update {
             Update::Gateway { name, address } => {
@@ -69,7 +70,7 @@
         self.published.holds().want_rewrite();
     }
 
-    /// Says what rows can't be understood, and which of them can again.
+    /// Logs rows that can't be parsed, and those that can be again.
     fn track_bad_row(&mut self, update: &Update) {
         match update {
             Update::Unreadable {
@@ -93,7 +94,7 @@
                 self.bad_rows.clear(self.topic, &key.to_string());
             }
             Update::Configuration(_) => self.bad_rows.clear_all(self.topic),
-            // Whether an endpoint's entry is taken shows when it is.
+            // Handled in `apply_endpoints`, which knows whether the entry is accepted.
             Update::Endpoint(_) | Update::EndpointGone { .. } => {}
         }
     }
@@ -115,7 +116,8 @@
         self.published.configuration_freshness().confirm(start_ms);
     }
 
-    /// Tells what operators declare of engines, where that differs from what they declared before.
+    /// Logs the performance models that operators declare for engines, where they differ from the
+    /// previous configuration.
     fn log_engines(&self, before: Option<&Configuration>) {
         let Some(configuration) = self.published.configuration() else {
             return;
@@ -158,7 +160,7 @@
             match update {
                 Update::Endpoint(facts) => {
                     let id = facts.incarnation.id.clone();
-                    // Without a configuration nobody knows which services there are.
+                    // Without a configuration, no service is known to be missing.
                     let names = |c: &Arc<Configuration>| c.services.contains_key(&facts.service);
                     let is_service_known = configuration.as_ref().is_none_or(names);
                     match endpoints.apply(facts, is_service_known, origin, now_ms) {
@@ -176,7 +178,8 @@
                 _ => {}
             }
         }
-        // After the others: what is missing now may still end an older life at its address.
+        // After the updates: an endpoint that is missing now may still be replaced by a later
+        // incarnation at its address.
         if let Some(listed) = listed {
             endpoints.mark_missing_except(&listed, now_ms);
         }
--- a/crates/mgs-relay/src/freshness.rs
+++ b/crates/mgs-relay/src/freshness.rs
@@ -1,10 +1,11 @@
-//! How fresh what is known of a topic is, and whether a peer knows it better.
+//! Tracks how fresh the known content of a topic is, and whether a peer has newer content.
 //!
-//! Every gateway waits for changes at the store by itself, so that no change depends on a peer. Asking
-//! often, only to learn that nothing changed and that the connection still lives, is what a large fleet
-//! can't afford: so a few gateways, the readers, ask often, and all tell each other what they know and when
-//! the store last confirmed it. A gateway that hears of something else than it knows itself, confirmed
-//! later, doesn't trust its own waiting call any more.
+//! Every gateway waits for changes of the store with a long poll of its own, so no change depends
+//! on a peer. Polling at short intervals, only to confirm that nothing changed and that the
+//! connection is still alive, is too expensive for a large fleet. So only a few gateways, the
+//! readers, poll at short intervals, and all gateways tell each other which content they know and
+//! when the store last confirmed it. A gateway that hears of other content, confirmed later than
+//! its own, gives up its pending long poll and reads the store again.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -14,49 +15,51 @@
 use arc_swap::ArcSwapOption;
 use tokio::sync::Notify;
 
-/// Stands for an instant that never was.
+/// Stands for "never" in timestamps.
 const NEVER_MS: u64 = 0;
 
-/// A confirmation older than this isn't fresh, in milliseconds. Readers confirm each 1.5 s the moment at
-/// which their call began, so what they know is 3 s old at most, and it takes some hundred to be told.
+/// Age from which a confirmation counts as stale, in milliseconds. Readers confirm every 1.5 s the
+/// time at which their call began, so their content is at most 3 s old, and their report takes a
+/// few hundred milliseconds to arrive.
 pub const STALE_MS: u64 = 3_400;
 
-/// What a peer knows of a topic.
+/// What a peer reports about one topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerReport {
-    /// Names the content: a version, or a hash.
+    /// Identifies the content: a version or a hash, see [`ContentKind`].
     pub content_id: u64,
-    /// When the store confirmed it, on this process's clock, in milliseconds.
+    /// When the store confirmed it, in milliseconds on this process's clock.
     pub confirmed_ms: u64,
-    /// Who said so.
+    /// Address of the peer.
     pub from: SocketAddr,
 }
 
-/// Whether contents have an order.
+/// What a content identifier is, which decides how two of them are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ContentKind {
-    /// Versions: the greater one is newer, whoever confirmed it when.
+    /// Versions: the greater one is newer, no matter when either was confirmed.
     Versions,
     /// Hashes: the one confirmed later is newer.
     Hashes,
 }
 
-/// What is known of one topic, without the content itself.
+/// The freshness of one topic: which content is known and when it was confirmed, but not the
+/// content itself. Written by the thread that follows the store and by the one that hears peers.
 #[derive(Debug)]
 pub struct Freshness {
     content_kind: ContentKind,
     content_id: AtomicU64,
     confirmed_ms: AtomicU64,
     store_lost_ms: AtomicU64,
-    /// The word last confirmed among those heard.
+    /// The report with the latest confirmation among those received.
     latest_report: ArcSwapOption<PeerReport>,
-    /// The content for which a waiting call was last given up.
+    /// The reported content for which a pending long poll was last given up.
     aborted_for: AtomicU64,
     notify: Notify,
 }
 
 impl Freshness {
-    /// Nothing is known.
+    /// Creates the freshness of a topic of which nothing is known.
     pub fn new(content_kind: ContentKind) -> Self {
         Self {
             content_kind,
@@ -69,17 +72,18 @@
         }
     }
 
-    /// Names what is known.
+    /// Identifies the known content; 0 if none is known.
     pub fn content_id(&self) -> u64 {
         self.content_id.load(Ordering::Relaxed)
     }
 
-    /// Something else is known now.
+    /// Sets the identifier of the known content.
     pub fn set_content_id(&self, content_id: u64) {
         self.content_id.store(content_id, Ordering::Relaxed);
     }
 
-    /// The store has confirmed what is known, as of `at_ms`; never goes back.
+    /// Records that the store confirmed the known content as of `at_ms`. An earlier time than the
+    /// one recorded is ignored.
     ///
     /// ```
     /// use mgs_relay::freshness::Freshness;
@@ -95,7 +99,7 @@
         self.confirmed_ms.fetch_max(at_ms.max(1), Ordering::Relaxed);
     }
 
-    /// Time since the last confirmation; `None` if there was none.
+    /// Time since the last confirmation, in milliseconds; `None` if there was none.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
         match self.confirmed_ms.load(Ordering::Relaxed) {
             NEVER_MS => None,
@@ -103,28 +107,29 @@
         }
     }
 
-    /// Whether nothing has confirmed what is known of late.
+    /// Whether the last confirmation is older than [`STALE_MS`], or there was none.
     pub fn is_stale(&self, now_ms: u64) -> bool {
         self.age_ms(now_ms).is_none_or(|age_ms| age_ms > STALE_MS)
     }
 
-    /// The store can't be read since `at_ms`.
+    /// Records that the store has been unreachable for this topic since `at_ms`.
     pub fn mark_store_lost(&self, at_ms: u64) {
         self.store_lost_ms.store(at_ms.max(1), Ordering::Relaxed);
     }
 
-    /// The store can be read again.
+    /// Records that the store can be read again.
     pub fn mark_store_recovered(&self) {
         self.store_lost_ms.store(NEVER_MS, Ordering::Relaxed);
     }
 
-    /// Since when the store can't be read, if it can't.
+    /// Time since which the store has been unreachable, in milliseconds; `None` while it can be
+    /// read.
     pub fn store_lost_since_ms(&self) -> Option<u64> {
         let at_ms = self.store_lost_ms.load(Ordering::Relaxed);
         Some(at_ms).filter(|at_ms| *at_ms != NEVER_MS)
     }
 
-    /// A peer says what it knows.
+    /// Takes the report of a peer. A report of the content that is known here confirms it.
     pub fn record_report(&self, report: PeerReport) {
         if report.content_id == self.content_id() {
             self.confirm(report.confirmed_ms);
@@ -146,7 +151,7 @@
         }
     }
 
-    /// The word of a peer that knows better, if there is one.
+    /// The latest report if it is about newer content than the one known here.
     ///
     /// ```
     /// use mgs_relay::freshness::Freshness;
@@ -172,8 +177,9 @@
         Some(report).filter(|_| is_newer)
     }
 
-    /// Whether a waiting call is to be given up since a peer knows better; once for each thing that
-    /// peers know, so that views that differ for good don't make calls forever.
+    /// Whether a pending long poll should be given up because a peer has newer content. Answers
+    /// `true` once for each content that peers report, so that views that never converge don't
+    /// cause calls forever.
     pub fn should_abort_wait(&self) -> bool {
         let Some(report) = self.newer_report() else {
             return false;
@@ -182,13 +188,13 @@
         last_aborted_for != report.content_id
     }
 
-    /// Wakes whoever waits for news, for another reason.
+    /// Wakes the task that waits in [`Self::notified`].
     pub fn wake(&self) {
         self.notify.notify_one();
     }
 
-    /// Comes back when a peer knows better, or has read the store after this gateway lost it, or after
-    /// [`Self::wake`].
+    /// Completes when a peer reports newer content, when a peer has read the store after this
+    /// gateway lost it, or after [`Self::wake`].
     pub async fn notified(&self) {
         self.notify.notified().await;
     }
--- a/crates/mgs-relay/src/gateway_count.rs
+++ b/crates/mgs-relay/src/gateway_count.rs
@@ -1,15 +1,16 @@
-//! How many gateways there are, as far as one of them knows.
+//! Estimates the number of gateways in the fleet.
 //!
-//! What all gateways may spend together is shared by this number, so one that is too small lets them spend too
-//! much. A gateway that has just started has heard nobody: until the store or a peer has told it how many there are,
-//! it doesn't know, and takes no part of what is shared: gateways that started at once without the store would each spend
-//! the whole.
+//! Fleet-wide budgets are divided by this number, so an estimate that is too low makes the fleet
+//! overspend. A gateway that has just started has heard no peer: until the store or a peer has told
+//! it the number, it knows none and takes no share of a budget. Otherwise gateways that start at
+//! the same time without the store would each spend the whole budget.
 
-/// How long the largest number of peers heard counts, in milliseconds: those that were cut off or have just ended may
-/// have spent their part.
+/// How long the largest number of peers heard counts, in milliseconds: peers that were cut off or
+/// have just ended may have spent their share.
 const HEARD_MEMORY_MS: f64 = 20_000.0;
 
-/// The gateways that one of them knows of.
+/// The number of gateways as one of them knows it, by peers heard, by the store's list and by
+/// reports of peers.
 ///
 /// ```
 /// use mgs_relay::gateway_count::GatewayCount;
@@ -25,17 +26,17 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct GatewayCount {
-    /// Most peers heard at once of late.
+    /// Largest number of peers heard at once within [`HEARD_MEMORY_MS`].
     heard_peers: usize,
     heard_at_ms: f64,
-    /// All that the store lists, this one included; `None` before it has been read.
+    /// Gateways that the store lists, including this one; `None` before the list was read.
     listed_gateways: Option<usize>,
-    /// Most that a peer knew of; `None` if no peer knew.
+    /// Largest number that a peer has reported; `None` if none did.
     reported_gateways: Option<usize>,
 }
 
 impl GatewayCount {
-    /// So many peers have been heard of late.
+    /// Records the number of peers heard recently.
     pub fn record_heard(&mut self, peers: usize, now_ms: f64) {
         if peers >= self.heard_peers || now_ms - self.heard_at_ms > HEARD_MEMORY_MS {
             self.heard_peers = peers;
@@ -43,22 +44,24 @@
         }
     }
 
-    /// The store lists so many gateways, this one included. Some of them may have ended.
+    /// Records how many gateways the store lists, including this one. Some of them may have ended.
     pub fn set_listed(&mut self, gateways: usize) {
         self.listed_gateways = Some(gateways);
     }
 
-    /// A peer says that there are so many; the most that was ever said counts, until the store is read.
+    /// Records the number of gateways that a peer reports. The largest one counts until the store's
+    /// list was read.
     pub fn record_reported(&mut self, gateways: usize) {
         self.reported_gateways = self.reported_gateways.max(Some(gateways));
     }
 
-    /// Gateways heard of late, this one included.
+    /// Number of gateways heard recently, including this one.
     pub fn heard_gateways(&self) -> usize {
         self.heard_peers + 1
     }
 
-    /// How many gateways share what all may spend, or `None` as long as that isn't known.
+    /// Number of gateways among which budgets are divided: the listed or reported number, but at
+    /// least those heard. `None` while neither the store nor a peer has told it.
     pub fn gateways_sharing(&self) -> Option<usize> {
         let known = self.listed_gateways.or(self.reported_gateways)?;
         Some(known.max(self.heard_gateways()))
--- a/crates/mgs-relay/src/membership.rs
+++ b/crates/mgs-relay/src/membership.rs
@@ -1,10 +1,12 @@
-//! The endpoints that are listed, and those whose entry may only have lapsed in an outage.
+//! The endpoints that the store lists, and those whose entry may merely have expired during an
+//! outage of the store.
 //!
-//! All that is kept here belongs to an incarnation: an endpoint that starts again, under another identifier or under
-//! the same one with a later start, gets a key of its own, and nothing that is believed of its earlier life is taken
-//! for its new one. What an older life says that comes late (from a slow store, a peer, a reading in an outage) changes
-//! nothing. An entry that can't be understood names no endpoint; what it named before isn't used until it can be
-//! understood again.
+//! Everything recorded here belongs to an incarnation. An endpoint that starts again, under another
+//! identifier or under the same one with a later start, gets a new key, so no knowledge about the
+//! earlier incarnation is applied to the new one. Late reports about an earlier incarnation (from a
+//! slow store, a peer or a read during an outage) change nothing. An entry that can't be parsed
+//! names no endpoint; the endpoint that it named before isn't used until the entry can be parsed
+//! again.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -19,34 +21,35 @@
 use crate::view::Endpoint;
 use crate::view::Fleet;
 
-/// Identifiers whose newest start is remembered although they aren't listed any more; more are forgotten, so that a
-/// writer of ever new identifiers can't fill a host's memory.
+/// Maximum number of identifiers and of removed incarnations that are remembered although they
+/// aren't listed any more, so that a writer of ever new identifiers can't fill a host's memory.
 const REMEMBERED_MAX: usize = 10_000;
 
-/// How long an endpoint that has gone is remembered, in milliseconds: a copy of the store may list it again that is some
-/// seconds old, after an outage of any usual length.
+/// How long a removed incarnation is remembered, in milliseconds: a copy of the store that is some
+/// seconds old, restored after an outage of any usual length, may list it again.
 const GONE_KEPT_MS: u64 = 120_000;
 
-/// Time within which the entry of an endpoint that has gone lapses, in milliseconds. What an older copy of the store has listed for
-/// longer lives.
+/// Time within which the entry of an endpoint that has ended expires, in milliseconds. An endpoint
+/// that a restored copy of the store lists for longer is alive.
 pub const ENTRY_EXPIRY_MS: u64 = 6_000;
 
-/// Where word of an endpoint comes from.
+/// How an entry was learnt, and so how old it may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// It was written just now.
+    /// A change: the entry was written just now.
     Change,
-    /// It was written at any time before: it stands in a reading of all that there is, by the store or by a peer.
+    /// Part of a full read of the store, or of a peer's list: the entry may have been written at
+    /// any time before.
     Snapshot,
 }
 
-/// An endpoint and since when it isn't listed.
+/// A known endpoint.
 #[derive(Debug, Clone)]
 struct Entry {
     key: EndpointKey,
     facts: EndpointFacts,
     missing_since_ms: Option<u64>,
-    /// Whether its row can't be understood any more.
+    /// Whether its row can't be parsed any more.
     is_unreadable: bool,
 }
 
@@ -56,15 +59,16 @@
     }
 }
 
-/// The endpoints that are listed, and those whose entry may only have lapsed in an outage.
+/// The endpoints that are listed, and those whose entry may merely have expired during an outage.
 #[derive(Debug)]
 pub struct Endpoints {
     entries: HashMap<String, Entry>,
-    /// The latest start of each identifier that has ever told one, in Unix milliseconds.
+    /// Latest start of each identifier that has ever reported one, in Unix milliseconds.
     starts_ms: HashMap<String, u64>,
-    /// Incarnations that have gone, and when, in milliseconds.
+    /// Removed incarnations with the time of removal, in milliseconds.
     gone_ms: HashMap<Incarnation, u64>,
-    /// When the store last came back from an older copy, in milliseconds: what it lists may be older than what was heard.
+    /// When the store was last restored from an older copy, in milliseconds. What it lists since
+    /// then may be older than what was learnt before.
     rolled_back_ms: Option<u64>,
     next_key: u32,
     expiry_grace_ms: u64,
@@ -73,7 +77,8 @@
 }
 
 impl Endpoints {
-    /// None yet.
+    /// Creates an empty table. Entries that expired during an outage are kept for `expiry_grace_ms`
+    /// after its end.
     pub fn new(expiry_grace_ms: u64) -> Self {
         Self {
             entries: HashMap::new(),
@@ -87,8 +92,9 @@
         }
     }
 
-    /// The store can be read again, which it couldn't since `began_ms`. Each topic finds the end of one outage by
-    /// itself, up to a retry later; the first counts, else an endpoint that has left is used for as much longer.
+    /// Records that the store can be read again, after an outage that began at `began_ms`. Each
+    /// topic notices the end of the same outage by itself, up to one retry interval later. Only the
+    /// first notice counts; otherwise an endpoint that has left would be used for that much longer.
     pub fn note_outage_end(&mut self, began_ms: u64, now_ms: u64) {
         let began_before = |ended_ms: u64| began_ms < ended_ms;
         let is_known = self.is_in_grace(now_ms) && self.outage_ended_ms.is_some_and(began_before);
@@ -97,23 +103,24 @@
         }
     }
 
-    /// The store has come back from an older copy. What was written since is written again by those that live, as after
-    /// an outage; what it lists may be older than what was heard, for as long as this process lives: it may do so
-    /// again.
+    /// Records that the store was restored from an older copy. As after an outage, live endpoints
+    /// write again what the copy lacks. From now until the process ends, what a full read lists may
+    /// be older than what was learnt before, since the store may be restored again.
     pub fn note_rollback(&mut self, now_ms: u64) {
         self.rolled_back_ms = Some(now_ms);
         self.outage_ended_ms = Some(now_ms);
     }
 
-    /// Whether an entry that isn't there may have lapsed in an outage.
+    /// Whether a missing entry may have expired during an outage.
     fn is_in_grace(&self, now_ms: u64) -> bool {
         let ended_ms = self.outage_ended_ms;
         ended_ms.is_some_and(|ended_ms| now_ms < ended_ms + self.expiry_grace_ms)
     }
 
-    /// Takes word of an endpoint. What was heard of a leaving or an end goes before what is only listed, once the store has
-    /// come back from an older copy: there the leaving may not have happened yet. Whoever lives writes again, and
-    /// that counts; or its entry was written again already, and doesn't lapse.
+    /// Applies an entry, or returns why it is rejected. Once the store was restored from an older
+    /// copy, a shutdown or removal that was seen before takes precedence over an entry of a
+    /// snapshot, which may predate it. A live endpoint writes its entry again, which counts as a
+    /// change; or it had already done so, and then its entry doesn't expire.
     pub fn apply(
         &mut self,
         facts: EndpointFacts,
@@ -140,7 +147,7 @@
         self.upsert(facts, is_service_known)
     }
 
-    /// Remembers incarnations that have gone.
+    /// Remembers removed incarnations.
     fn remember_gone(&mut self, gone: HashSet<Incarnation>, now_ms: u64) {
         self.gone_ms
             .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < GONE_KEPT_MS);
@@ -150,8 +157,9 @@
         }
     }
 
-    /// An endpoint is listed. `is_service_known`: whether the configuration names its service; one whose service nobody
-    /// names ends no other. Answers why the entry isn't taken, if it isn't.
+    /// Adds or updates a listed endpoint, or returns why the entry is rejected. `is_service_known`
+    /// says whether the configuration names its service; an endpoint of an unknown service replaces
+    /// no other one at its address.
     pub fn upsert(&mut self, facts: EndpointFacts, is_service_known: bool) -> Result<(), RowFault> {
         let id = facts.incarnation.id.clone();
         match self.rejection_reason(&facts, is_service_known) {
@@ -173,7 +181,7 @@
         }
     }
 
-    /// Why an entry tells nothing of the endpoint as it is now.
+    /// Why an entry doesn't describe the current incarnation of its endpoint, if it doesn't.
     fn rejection_reason(&self, facts: &EndpointFacts, is_service_known: bool) -> Option<RowFault> {
         let own = &facts.incarnation;
         if let Some(newest_ms) = self.starts_ms.get(&own.id) {
@@ -203,7 +211,7 @@
         }
     }
 
-    /// A later incarnation at the same address ends the earlier one.
+    /// Removes endpoints that a later incarnation at the same address replaces.
     fn remove_superseded(&mut self, address: SocketAddr, later: &Incarnation) {
         let is_ended = |entry: &Entry| {
             let earlier = &entry.facts.incarnation;
@@ -240,7 +248,7 @@
         self.is_changed = true;
     }
 
-    /// Adds an incarnation that isn't known, in place of an earlier one of the same identifier.
+    /// Adds a new incarnation, in place of an earlier one of the same identifier.
     fn insert(&mut self, facts: EndpointFacts) {
         let is_restart = self.entries.contains_key(&facts.incarnation.id);
         log::info!(
@@ -261,8 +269,8 @@
         self.entries.insert(id, entry);
     }
 
-    /// The row of an endpoint can't be understood: it isn't used until it can. The key is kept, since it may be the
-    /// same life that is listed again.
+    /// Records that the row of an endpoint can't be parsed: it isn't used until it can. Its key is
+    /// kept, since the same incarnation may be listed again.
     pub fn mark_unreadable(&mut self, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
             self.is_changed |= !entry.is_unreadable;
@@ -271,7 +279,7 @@
         }
     }
 
-    /// An endpoint isn't listed any more.
+    /// Records that an endpoint isn't listed any more.
     pub fn mark_missing(&mut self, id: &str, now_ms: u64) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
@@ -282,7 +290,7 @@
         }
     }
 
-    /// Identifiers that a reading of all lists.
+    /// The identifiers that a full read lists.
     pub fn listed_ids(updates: &[Update]) -> HashSet<String> {
         let id = |update: &Update| match update {
             Update::Endpoint(facts) => Some(facts.incarnation.id.clone()),
@@ -292,7 +300,8 @@
         updates.iter().filter_map(id).collect()
     }
 
-    /// All were read: those that aren't among them aren't listed any more.
+    /// Records, after a full read, that all endpoints except the `listed` ones aren't listed any
+    /// more.
     pub fn mark_missing_except(&mut self, listed: &HashSet<String>, now_ms: u64) {
         let missing = self.entries.keys().filter(|id| !listed.contains(*id));
         let missing: Vec<String> = missing.cloned().collect();
@@ -301,7 +310,7 @@
         }
     }
 
-    /// These are listed and no others, by somebody who has read the store.
+    /// Replaces the list by that of a peer, which has read the store.
     pub fn replace_all(&mut self, listed: Vec<EndpointFacts>, now_ms: u64) {
         let updates: Vec<Update> = listed.into_iter().map(Update::Endpoint).collect();
         let listed = Self::listed_ids(&updates);
@@ -317,8 +326,8 @@
         self.drop_missing(now_ms);
     }
 
-    /// Drops those that aren't listed, except shortly after an outage. One that was leaving is dropped at
-    /// once: it was to go; so is one whose row couldn't be understood.
+    /// Removes endpoints that aren't listed, except shortly after an outage. Those that were
+    /// shutting down, and those whose row couldn't be parsed, are removed without that grace.
     pub fn drop_missing(&mut self, now_ms: u64) {
         let in_grace = self.is_in_grace(now_ms);
         let before = self.entries.len();
@@ -337,7 +346,8 @@
         self.remember_gone(gone, now_ms);
     }
 
-    /// How long to wait for changes, at most `longest_ms`: what has lapsed is to be dropped in time.
+    /// The time to wait for changes, at most `longest_ms`: entries that expired in an outage must
+    /// be removed in time.
     pub fn bounded_wait_ms(&self, longest_ms: u64, now_ms: u64) -> u64 {
         let has_missing = self.entries.values().any(|e| e.missing_since_ms.is_some());
         let Some(ended_ms) = self.outage_ended_ms.filter(|_| has_missing) else {
@@ -347,20 +357,21 @@
         longest_ms.min(due_ms.max(50))
     }
 
-    /// Whether something changed since this was last asked.
+    /// Returns whether something changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.is_changed)
     }
 
-    /// Whether none is known.
+    /// Whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Names what is listed, alike at all gateways that have read the same.
+    /// Hash of the listed endpoints, equal at all gateways that have read the same list; not 0 for
+    /// an empty list, since 0 stands for a list that was never read.
     pub fn content_hash(&self) -> u64 {
         let listed = self.entries.values().filter(|entry| entry.is_listed());
-        // One that is leaving differs from itself before.
+        // An endpoint that is shutting down hashes differently from before.
         let hash = |entry: &Entry| {
             let hash = entry.facts.incarnation.hash_64();
             match entry.facts.is_leaving {
@@ -368,11 +379,11 @@
                 false => hash,
             }
         };
-        // A sum, since the order isn't the same everywhere.
+        // A sum doesn't depend on the order, which differs between gateways.
         listed.map(hash).fold(1, u64::wrapping_add)
     }
 
-    /// All that may be used, those whose entry may have lapsed included.
+    /// All usable endpoints, including those whose entry may have expired during an outage.
     pub fn fleet(&self) -> Fleet {
         let endpoint = |entry: &Entry| Endpoint {
             key: entry.key,
@@ -380,8 +391,8 @@
         };
         let used = self.entries.values().filter(|entry| !entry.is_unreadable);
         let mut endpoints: Vec<Endpoint> = used.map(endpoint).collect();
-        // The same order at each gateway: those that lie together stand together, and of engines that are as good the
-        // first are taken.
+        // The same order at each gateway: endpoints of one zone are adjacent, and of equally good
+        // engines the first is taken.
         endpoints.sort_by_cached_key(|endpoint| {
             let facts = &endpoint.facts;
             (facts.zone.clone(), facts.incarnation.hash_64())
--- a/crates/mgs-relay/src/memory.rs
+++ b/crates/mgs-relay/src/memory.rs
@@ -90,7 +90,7 @@
     }
 
     fn next_id(&self) -> String {
-        format!("{:x}-{}", self.core.incarnation, self.core.next_id())
+        format!("{:x}-{}", self.core.incarnation, self.core.next_serial())
     }
 
     /// Renews until dropped.
--- a/crates/mgs-relay/src/metrics.rs
+++ b/crates/mgs-relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of the path of a request.
+//! Metrics of the request path.
 
 use mgs_observe::metrics::Counter;
 use mgs_observe::metrics::CounterTable;
@@ -8,7 +8,8 @@
 use mgs_observe::metrics::HistogramsMs;
 use mgs_observe::metrics::Registry;
 
-/// Prompt lengths by which the first token's time is told apart, in tokens, with their labels.
+/// Buckets of prompt length for the time to the first token: exclusive upper bounds in tokens, with
+/// their labels.
 const LENGTH_BUCKETS: [(u64, &str); 4] = [
     (1, "none"),
     (16_000, "under_16k"),
@@ -16,8 +17,9 @@
     (u64::MAX, "over_100k"),
 ];
 
-/// Sizes by which outcomes are told apart, in read tokens, with their labels: each twice the one before, so that
-/// the longest requests of a kind stand apart from the others.
+/// Buckets of request size for outcomes: exclusive upper bounds in read tokens, with their labels.
+/// Each bound is about twice the one before, so that the longest requests of a kind are separate
+/// from the others.
 const SIZE_BUCKETS: [(u64, &str); 10] = [
     (4_000, "under_4k"),
     (8_000, "4k_to_8k"),
@@ -40,59 +42,59 @@
     pub(crate) outcomes: CounterTable,
     /// Requests that ended without an endpoint's answer, by reason.
     pub(crate) refusals: Counters,
-    /// Second tries, by reason.
+    /// Retries, by reason.
     pub(crate) retries: Counters,
-    /// Dispatches, by how they ended.
+    /// Dispatches, by outcome.
     pub(crate) dispatches: Counters,
     /// Streams that broke off, by reason.
     pub(crate) broken_streams: Counters,
-    /// Refusals of endpoints to help with a prompt, by what they show.
+    /// Refusals of endpoints to help with a prompt, by their likely reason.
     pub(crate) help_refusals: Counters,
-    /// What endpoints newly asked of those that send them requests, by what it is.
+    /// Changes of what endpoints ask of their senders, by kind.
     pub(crate) advice: Counters,
-    /// Requests that were placed at an endpoint that may not be sent anything any more, by why.
+    /// Requests placed at an endpoint that must not be sent anything any more, by reason.
     pub(crate) shut_before_dispatch: Counters,
-    /// Runs of which no answer came, by what became of their endpoint.
+    /// Runs that returned no answer, by what became of their endpoint.
     pub(crate) lost_runs: Counters,
-    /// Works that were held as crashing endpoints, or let go.
+    /// Works that were put in quarantine or released.
     pub(crate) quarantine: Counters,
-    /// Works that are held.
+    /// Works in quarantine.
     pub(crate) held_works: Gauge,
     /// Memory reservations, by outcome.
     pub(crate) reservations: Counters,
     /// Open requests.
     pub(crate) open_requests: Gauge,
-    /// Open connections of clients.
+    /// Open client connections.
     pub(crate) open_connections: Gauge,
-    /// Peers heard of late.
+    /// Peers heard recently.
     pub(crate) peers: Gauge,
-    /// Gateways that share the budget of second tries; -1 while that isn't known.
+    /// Gateways that share the retry budget; -1 while their number isn't known.
     pub(crate) gateways: Gauge,
     /// Version of the configuration in force.
     pub(crate) configuration_version: Gauge,
-    /// Age of the configuration's last confirmation, in milliseconds; -1 if it never was.
+    /// Time since the configuration was last confirmed, in milliseconds; -1 if it never was.
     pub(crate) configuration_age_ms: Gauge,
-    /// Age of the fleet's last confirmation, in milliseconds; -1 if it never was.
+    /// Time since the list of endpoints was last confirmed, in milliseconds; -1 if it never was.
     pub(crate) fleet_age_ms: Gauge,
-    /// Endpoints known.
+    /// Known endpoints.
     pub(crate) endpoints: Gauge,
-    /// Times to the first event or answer, by length of the prompt.
+    /// Time to the first event or the answer, by prompt length.
     pub(crate) first_token_ms: HistogramsMs,
-    /// Predicted less actual time to the first token, where it came later than predicted.
+    /// Time by which the first token came later than predicted.
     pub(crate) late_by_ms: HistogramMs,
     /// Pauses between events.
     pub(crate) pause_ms: HistogramMs,
-    /// Times to connect to an endpoint.
+    /// Time to connect to an endpoint.
     pub(crate) connect_ms: HistogramMs,
-    /// Bytes carried, by what they are for.
+    /// Bytes transferred, by purpose.
     pub(crate) bytes: Counters,
-    /// Rows of the store that name nothing to use, by what is wrong with them.
+    /// Rows of the store that can't be used, by fault.
     pub bad_rows: Counters,
-    /// Calls to the store by topic and why they were made.
+    /// Calls to the store, by topic and reason.
     pub store_calls: CounterTable,
-    /// Times at which the store was found to have come back from an older copy, by topic.
+    /// Detected restorations of the store from an older copy, by topic.
     pub store_rollbacks: Counters,
-    /// Messages of peers that couldn't be read or sent.
+    /// Messages that couldn't be received, decoded or sent.
     pub(crate) peer_faults: Counter,
 }
 
@@ -188,7 +190,7 @@
     bucket_label(&SIZE_BUCKETS, size_tokens)
 }
 
-/// The first label whose bound exceeds `tokens`, else the last.
+/// Label of the first bucket whose bound exceeds `tokens`, or of the last bucket.
 fn bucket_label(bounds: &[(u64, &'static str)], tokens: u64) -> &'static str {
     let fits = |(below, _): &&(u64, &'static str)| tokens < *below;
     let bucket = bounds.iter().find(fits).or(bounds.last());
--- a/crates/mgs-relay/src/peer_snapshot.rs
+++ b/crates/mgs-relay/src/peer_snapshot.rs
@@ -1,4 +1,5 @@
-//! All that a gateway knows of the store, told to a peer that asks ([`crate::help`]).
+//! Sends all that this gateway knows of the store to peers that connect, and fetches the same from
+//! peers (see [`crate::help`]).
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,18 +19,18 @@
 use crate::view::Configuration;
 use crate::view::Published;
 
-/// Longest wait for a peer, in all.
+/// Timeout of a whole exchange with a peer.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Longest message, in bytes: a configuration of some ten thousand routes.
+/// Maximum size of a message, in bytes: a configuration of some ten thousand routes.
 const SNAPSHOT_BYTES_MAX: u64 = 32 * 1024 * 1024;
 
-/// What a gateway answers a peer.
+/// A gateway's reply to a peer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 enum Reply {
-    /// It has no configuration itself, as when all start at once.
+    /// It has no configuration itself, as when all gateways start at the same time.
     NothingYet,
-    /// What it knows.
+    /// All that it knows.
     All(PeerSnapshot),
 }
 
@@ -52,14 +53,14 @@
     }
 }
 
-/// Tells whoever connects, until the process ends.
+/// Sends a snapshot on each connection until the process ends.
 pub(crate) async fn serve(core: Rc<Core>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
                 tokio::task::spawn_local(send(core.clone(), stream, from));
             }
-            Err(error) => log::warn!(error:% = error; "peers can't be told"),
+            Err(error) => log::warn!(error:% = error; "a peer's connection can't be accepted"),
         }
     }
 }
@@ -67,7 +68,7 @@
 async fn send(core: Rc<Core>, mut stream: TcpStream, peer: SocketAddr) {
     let reply = PeerSnapshot::of(&core.published).map_or(Reply::NothingYet, Reply::All);
     let message = bincode::serde::encode_to_vec(&reply, bincode::config::standard())
-        .expect("BUG: a handover is plain data");
+        .expect("BUG: a snapshot is plain data");
     let sending = async {
         stream.write_all(&message).await?;
         stream.shutdown().await
@@ -84,7 +85,7 @@
     }
 }
 
-/// Asks peers one after the other; the first that knows enough is taken.
+/// Asks peers one after the other, and returns the first snapshot received.
 pub(crate) async fn fetch_first(peers: &[SocketAddr]) -> Option<PeerSnapshot> {
     for peer in peers {
         match timeout(EXCHANGE_TIMEOUT, fetch(*peer)).await {
@@ -98,7 +99,7 @@
                 return Some(snapshot);
             }
             Ok(Err(error)) => log::info!(peer:% = peer, error = error; "a peer told nothing"),
-            Err(_) => log::info!(peer:% = peer; "a peer doesn't answer"),
+            Err(_) => log::info!(peer:% = peer; "a peer didn't answer in time"),
         }
     }
     None
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -1,5 +1,5 @@
-//! What gateways hear of each other, over datagrams: what each has placed, and what it knows of the store. What this
-//! one says is the matter of [`crate::broadcast`].
+//! Receives messages of peers over UDP: the work that each has placed, and what it knows of the
+//! store. [`crate::broadcast`] sends this gateway's messages.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -30,48 +30,52 @@
 use crate::freshness::PeerReport;
 use crate::traffic::TrafficKind;
 
-/// A peer that was not heard of for this long is told about once a second only, in milliseconds.
+/// Time without a message from a peer after which it is sent messages about once a second only, in
+/// milliseconds.
 const RECENT_CONTACT_MS: f64 = 2_000.0;
 
-/// Gateways that ask the store often, so that the others needn't: two, so that the end of one isn't felt.
+/// Number of readers, the gateways that poll the store at short intervals so that the others
+/// needn't. With two of them, the end of one isn't noticed.
 const READER_COUNT: usize = 2;
 
-/// Added to the age of what a peer knows for its way here, in milliseconds: an interval between two messages
-/// and a busy host's delay.
+/// Added to the ages that a peer reports to account for the transfer, in milliseconds: one interval
+/// between two messages and the delay of a busy host.
 pub(crate) const TRANSIT_MS: u64 = 50;
 
-/// What a gateway tells its peers.
+/// A datagram between gateways.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// What it has placed and knows of the store.
+    /// The work that the sender has placed, and what it knows of the store.
     Beacon(Box<Beacon>),
     /// Requests that have crashed endpoints.
     Crashes {
         /// Incarnation of the sender.
         from: u64,
-        /// What it knows of them, or a part of that.
+        /// What the sender knows of them, or a part of it.
         works: Vec<Told>,
     },
 }
 
-/// What is known of one address.
+/// The last message from one address.
 #[derive(Debug, Clone, Copy)]
 struct PeerContact {
     at_ms: f64,
     is_leaving: bool,
 }
 
-/// Peers by address, and the last message's number by incarnation.
+/// The peers from which messages were received.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTable {
+    /// Last message by address.
     contacts: HashMap<SocketAddr, PeerContact>,
-    /// Peers that leave.
+    /// Peers that are shutting down.
     leaving: HashSet<PeerKey>,
+    /// Sequence number of the last message, by incarnation.
     last_sequences: HashMap<PeerKey, u64>,
 }
 
 impl PeerTable {
-    /// Who is told: those heard of late, and at times all that are listed.
+    /// Addresses to send to: peers heard recently and, with `to_all`, all that the store lists.
     pub(crate) fn recipients(&self, core: &Core, now_ms: f64, to_all: bool) -> Vec<SocketAddr> {
         let recent = self.contacts.iter();
         let recent = recent.filter(|(_, contact)| now_ms - contact.at_ms < RECENT_CONTACT_MS);
@@ -84,7 +88,7 @@
         addresses
     }
 
-    /// Incarnations of the peers that are heard and stay.
+    /// Incarnations of the peers that are heard and aren't shutting down.
     fn staying(&self, board: &Board) -> Vec<u64> {
         let stay = |peer: &&PeerKey| board.is_heard(**peer) && !self.leaving.contains(peer);
         let mut staying: Vec<u64> = self
@@ -97,7 +101,9 @@
         staying
     }
 
-    /// Whether the gateway at `own` is among the first that stay, by address; all agree without talking.
+    /// Whether the gateway at `own` is one of the readers: those with the lowest addresses among
+    /// the gateways that aren't shutting down. All gateways come to the same result without
+    /// coordination.
     fn is_reader(&self, own: SocketAddr, now_ms: f64) -> bool {
         let precedes = |(address, contact): &(&SocketAddr, &PeerContact)| {
             **address < own && !contact.is_leaving && now_ms - contact.at_ms < PEER_SILENCE_MS
@@ -106,7 +112,7 @@
     }
 }
 
-/// Talks with peers until the process ends.
+/// Exchanges messages with peers until the process ends.
 pub(crate) async fn run(core: Rc<Core>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     let peer_table = Rc::new(RefCell::new(PeerTable::default()));
@@ -127,7 +133,7 @@
             Ok(received) => received,
             Err(error) => {
                 core.metrics.peer_faults.inc();
-                log::debug!(error:% = error; "peers can't be heard");
+                log::debug!(error:% = error; "messages of peers can't be received");
                 sleep(SEND_INTERVAL_MIN).await;
                 continue;
             }
@@ -146,7 +152,7 @@
             }
             Err(error) => {
                 core.metrics.peer_faults.inc();
-                log::warn!(peer:% = from, error:% = error; "a peer's message can't be read");
+                log::warn!(peer:% = from, error:% = error; "a peer's message can't be decoded");
             }
         }
     }
@@ -244,7 +250,8 @@
     record(published.endpoint_freshness(), beacon.endpoints);
 }
 
-/// Finds out whether this gateway is a reader, and wakes followers whose knowledge gets old.
+/// Updates whether this gateway is a reader, and wakes the followers of topics whose content has
+/// become stale.
 fn refresh_reader_role(core: &Core, peer_table: &PeerTable) {
     let published = &core.published;
     let is_reader = peer_table.is_reader(core.options.peer_listen, core.now_ms());
@@ -262,7 +269,7 @@
     }
 }
 
-/// Keeps count of the gateways, and forgets those that fell silent.
+/// Regularly updates the number of gateways, and forgets peers that fell silent.
 async fn maintain(core: Rc<Core>, peer_table: Rc<RefCell<PeerTable>>) {
     const INTERVAL: Duration = Duration::from_millis(250);
     loop {
@@ -289,7 +296,7 @@
     }
 }
 
-/// Brings the number of gateways up to date.
+/// Updates the number of gateways.
 fn update_gateway_count(core: &Core, peers: usize, now_ms: f64) {
     core.gateway_count.borrow_mut().record_heard(peers, now_ms);
     let sharing = core.gateways_sharing().map_or(-1, |n| n as i64);
--- a/crates/mgs-relay/src/readiness.rs
+++ b/crates/mgs-relay/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the balancer's question whether this host takes connections.
+//! Answers the load balancer's readiness checks.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -19,19 +19,21 @@
 use crate::core::Core;
 use crate::drain::Phase;
 
-/// Takes the balancer's connections until the process ends.
+/// Accepts connections of the balancer until the process ends.
 pub(crate) async fn accept(core: Rc<Core>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(serve_connection(core.clone(), stream));
+                tokio::task::spawn_local(handle_connection(core.clone(), stream));
+            }
+            Err(error) => {
+                log::warn!(error:% = error; "the balancer's connection can't be accepted")
             }
-            Err(error) => log::warn!(error:% = error; "the balancer can't be answered"),
         }
     }
 }
 
-async fn serve_connection(core: Rc<Core>, stream: TcpStream) {
+async fn handle_connection(core: Rc<Core>, stream: TcpStream) {
     let service = service_fn(move |request| {
         let response = respond(&core, &request);
         async move { Ok::<_, Infallible>(response) }
@@ -55,7 +57,8 @@
     response
 }
 
-/// Whether this host should get connections.
+/// Whether this host should receive connections: it isn't shutting down, and it knows what serving
+/// needs.
 pub(crate) fn is_ready(core: &Core) -> bool {
     core.drain.phase() == Phase::Serving && core.published.is_complete()
 }
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -1,4 +1,5 @@
-//! The relay: sockets, the one thread, and its end.
+//! Starts a relay: binds its sockets, runs its tasks on the calling thread and drains them at
+//! shutdown.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -55,27 +56,28 @@
 pub struct Options {
     /// Availability zone of this host.
     pub zone: String,
-    /// Where clients connect.
+    /// Address on which client connections are accepted.
     pub client_listen: SocketAddr,
-    /// Where the balancer asks whether this host takes connections.
+    /// Address on which the load balancer's readiness checks are answered.
     pub ready_listen: SocketAddr,
-    /// Where peers send their messages.
+    /// Address on which messages of peers are received: datagrams over UDP, snapshot requests over
+    /// TCP.
     pub peer_listen: SocketAddr,
-    /// Longest wait for a connection to an endpoint, in milliseconds. A lost first packet is sent again
-    /// after a second; asking another endpoint is sooner.
+    /// Timeout for connecting to an endpoint, in milliseconds. TCP retransmits a lost SYN only
+    /// after one second; trying another endpoint is faster.
     pub connect_timeout_ms: u64,
-    /// Placing of prompts.
+    /// Placement of prompts on engines.
     pub placing: options::Options,
-    /// Order among long prompts.
+    /// Order in which long prompts are sent.
     pub turns: turn::Options,
-    /// Endpoints that are passed over.
+    /// Detection of failing endpoints, which are then skipped for a while.
     pub outliers: outlier::Options,
-    /// Requests that crash endpoints.
+    /// Quarantine of requests that crash endpoints.
     pub quarantine: mgs_quarantine::options::Options,
-    /// Limits that endpoints name.
+    /// Rate limits that endpoints announce.
     pub backpressure: mgs_backpressure::options::Options,
-    /// Where the numbers by which gateways choose differently begin; a new one each time if it isn't set. Two gateways
-    /// with the same seed choose the same engines.
+    /// Seed of the random generator used for placement; drawn afresh at each start if `None`. Two
+    /// gateways with the same seed choose the same engines.
     pub random_seed: Option<u64>,
 }
 
@@ -91,8 +93,8 @@
             placing: options::Options::default(),
             turns: turn::Options::default(),
             outliers: outlier::Options {
-                // An endpoint that went dark answers nothing; each request that finds out costs its
-                // client the time to connect elsewhere.
+                // An unreachable endpoint never answers, and each request that finds this out costs
+                // its client the time to connect elsewhere.
                 failures: 2,
                 ejection_ms: 1_000,
                 ejection_max_ms: 8_000,
@@ -105,36 +107,37 @@
     }
 }
 
-/// Why a relay can't start.
+/// Errors that prevent a relay from starting.
 #[derive(Debug, Display)]
 pub enum Error {
     /// can't listen on {address} for {purpose}: {source}
     Listen {
-        /// The address.
+        /// The address that couldn't be bound.
         address: SocketAddr,
-        /// For whom.
+        /// What the socket is for.
         purpose: &'static str,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// the system has no threads, timers or random numbers to give: {0}
+    /// can't create the runtime or read system random numbers: {0}
     System(String),
 }
 
 impl std::error::Error for Error {}
 
-/// What a relay tells the thread that started it.
+/// Local addresses of a started relay, with the ports that were bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
-    /// Where clients connect.
+    /// Address for client connections.
     pub client: SocketAddr,
-    /// Where the balancer asks.
+    /// Address for readiness checks.
     pub ready: SocketAddr,
-    /// Where peers send.
+    /// Address for peers.
     pub peer: SocketAddr,
 }
 
-/// Serves on this thread until `stop` resolves and what is open has ended.
+/// Runs a relay on the calling thread until `stop` resolves and open requests have ended or were
+/// cut off. Calls `on_started` once all sockets are bound.
 pub fn run(
     options: Options,
     dialect: Box<dyn Dialect>,
@@ -151,7 +154,7 @@
     let core = new_core(options, dialect, published, metrics)?;
     let local = LocalSet::new();
     let result = local.block_on(&runtime, serve(core, on_started, stop));
-    // Open sockets are closed by the end of the process; nobody waits for tasks that can't end.
+    // The end of the process closes open sockets, so tasks that can't finish aren't waited for.
     runtime.shutdown_background();
     result
 }
@@ -189,14 +192,15 @@
         random: RefCell::new(ChaCha8Rng::seed_from_u64(
             options.random_seed.unwrap_or(incarnation),
         )),
-        last_id: Cell::new(0),
+        last_serial: Cell::new(0),
         zone: zone_key(&options.zone),
         incarnation,
         options,
     }))
 }
 
-/// Names an availability zone among gateways, whatever their order of names.
+/// Hashes the name of an availability zone, so that gateways agree on its key without a shared list
+/// of zones.
 fn zone_key(name: &str) -> ZoneKey {
     ZoneKey(xxh3_64(name.as_bytes()) as u32)
 }
@@ -231,8 +235,8 @@
     Ok(())
 }
 
-/// Binds the two sockets of peers, datagrams and connections, to one port. Where any port will do, a number
-/// that is free for one of them may be taken for the other; then another is tried.
+/// Binds the UDP socket and the TCP listener for peers to the same port. If the system chooses the
+/// port, one that is free for UDP may be taken for TCP; then another is tried.
 async fn listen_for_peers(
     address: SocketAddr,
 ) -> Result<(UdpSocket, tokio::net::TcpListener), Error> {
--- a/crates/mgs-relay/src/source.rs
+++ b/crates/mgs-relay/src/source.rs
@@ -1,4 +1,4 @@
-//! Where the configuration and the fleet come from: the border to the platform's store.
+//! The interface to the platform's store, from which the configuration and the fleet are read.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,19 +13,19 @@
 
 use crate::view::Configuration;
 
-/// What is followed, each with its own revisions.
+/// A part of the store that is followed by itself, with its own revisions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Topic {
     /// The operators' configuration.
     Configuration,
-    /// Endpoints that registered themselves.
+    /// Endpoints, each with an entry that it registered itself.
     Endpoints,
-    /// Gateways that registered themselves, and the works that they hold.
+    /// Gateways, each with an entry that it registered itself, and the quarantined works.
     Gateways,
 }
 
 impl Topic {
-    /// Name in logs.
+    /// Name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -35,18 +35,19 @@
     }
 }
 
-/// A place in the history of the store. The store may come back from an older copy: then it begins another era, and gives
-/// out numbers again, so that numbers compare within one era only.
+/// A position in the history of the store. The store may be restored from an older copy. It then
+/// begins another era and reuses revision numbers, so numbers compare within one era only.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Revision {
-    /// How often the store has come back from an older copy, as far as it tells; 0 if it doesn't.
+    /// How often the store has been restored from an older copy; 0 if it doesn't report it.
     pub era: u64,
-    /// Number within the era.
+    /// Revision number within the era.
     pub number: u64,
 }
 
 impl Revision {
-    /// Whether the store has come back from an older copy since this revision, by a later one.
+    /// Whether `later` belongs to a later era, that is, whether the store has been restored from an
+    /// older copy since this revision.
     ///
     /// ```
     /// use mgs_relay::source::Revision;
@@ -60,17 +61,18 @@
     }
 }
 
-/// One life of an endpoint, from a start of its process to the next.
+/// One run of an endpoint's process, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Its identifier; an endpoint may start again under the one that it had.
+    /// Identifier of the endpoint; it may start again under the same one.
     pub id: String,
-    /// When it started, in Unix milliseconds, if it tells.
+    /// When it started, in Unix milliseconds, if the endpoint reports it.
     pub born_ms: Option<u64>,
 }
 
 impl Incarnation {
-    /// Names it among gateways, whose own keys differ.
+    /// Hash that identifies the incarnation between gateways, each of which has endpoint keys of
+    /// its own.
     ///
     /// ```
     /// use mgs_relay::source::Incarnation;
@@ -82,14 +84,15 @@
     pub fn hash_64(&self) -> u64 {
         match self.born_ms {
             None => xxh3_64(self.id.as_bytes()),
-            // No identifier holds a line feed.
+            // Identifiers never contain a line feed.
             Some(born_ms) => xxh3_64(format!("{}\n{born_ms}", self.id).as_bytes()),
         }
     }
 
-    /// Whether this start ends an `other` one at the same address. Of two that tell when they started the later one
-    /// does, of two that don't the one that is written later. If only one of them tells, both stay: requests name
-    /// the one that they are meant for, and the other refuses them unrun.
+    /// Whether this incarnation replaces an `other` one at the same address. If both report when
+    /// they started, the later start does; if neither does, the one written later. If only one of
+    /// them does, both stay listed: a request names the incarnation that it is meant for, and the
+    /// other one refuses it without running it.
     pub fn supersedes(&self, other: &Self) -> bool {
         match (self.born_ms, other.born_ms) {
             (Some(own_ms), Some(other_ms)) => own_ms > other_ms,
@@ -99,24 +102,24 @@
     }
 }
 
-/// What an endpoint says of itself.
+/// What an endpoint reports about itself in its entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointFacts {
-    /// Which life of which endpoint.
+    /// Identifier and start of the process.
     pub incarnation: Incarnation,
-    /// Name of its service.
+    /// Name of the service that it runs.
     pub service: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub is_leaving: bool,
 }
 
-/// What is wrong with a row of the store, which other writers may have written.
+/// Why a row of the store can't be used; rows may come from other writers. The texts are logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum RowFault {
     /// the row's own fields are missing or of another type
@@ -156,66 +159,67 @@
     }
 }
 
-/// One change.
+/// One change of a topic.
 #[derive(Debug, Clone)]
 pub enum Update {
-    /// A configuration.
+    /// A new configuration.
     Configuration(Box<Configuration>),
-    /// An endpoint is there, or is there with other facts.
+    /// An endpoint was added, or its entry changed.
     Endpoint(EndpointFacts),
-    /// An endpoint isn't listed any more.
+    /// An endpoint's entry was removed.
     EndpointGone {
         /// Its identifier.
         id: String,
     },
-    /// A row that can't be understood: whatever it named before, it names nothing now.
+    /// A row that can't be parsed: what its key named before isn't usable any more.
     Unreadable {
-        /// Its key; empty if that can't be read either.
+        /// Key of the row; empty if that can't be read either.
         key: String,
         /// What is wrong with it.
         fault: RowFault,
-        /// The same in words.
+        /// Description of the fault.
         detail: String,
-        /// The store's revision at which it was written, by which its writer can be found; number 0 if it has none.
+        /// Revision of the store at which the row was written, by which its writer can be found;
+        /// number 0 if unknown.
         revision: Revision,
     },
-    /// A gateway is there.
+    /// A gateway was added, or its entry changed.
     Gateway {
         /// Its name.
         name: String,
-        /// Where it hears peers.
+        /// Address on which it receives messages of peers.
         address: SocketAddr,
     },
-    /// A gateway isn't listed any more.
+    /// A gateway's entry was removed.
     GatewayGone {
         /// Its name.
         name: String,
     },
-    /// A work that crashes endpoints is held.
+    /// A work that crashes endpoints was put in quarantine.
     Held(Told),
-    /// A work is held no more.
+    /// A work was released from quarantine.
     LetGo(WorkKey),
 }
 
-/// What was read.
+/// The result of one read.
 #[derive(Debug, Clone)]
 pub struct Batch {
-    /// Changes, in order; of a whole reading, all that is there.
+    /// The changes in order; for a full read, everything that is listed.
     pub updates: Vec<Update>,
-    /// The store's revision up to which this is complete.
+    /// Revision of the store up to which this is complete.
     pub revision: Revision,
 }
 
-/// Why nothing was read.
+/// Errors of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum SourceError {
     /// the store has dropped the changes since that revision
     HistoryCompacted,
-    /// the store has come back from an older copy: era {from} is over, this is era {to}
+    /// the store was restored from an older copy: era {from} is over, this is era {to}
     EraChanged {
-        /// The era that was known.
+        /// The era of the revision that was asked for.
         from: u64,
-        /// The era that it is in now.
+        /// The current era of the store.
         to: u64,
     },
     /// the store can't be read: {0}
@@ -224,15 +228,17 @@
 
 impl std::error::Error for SourceError {}
 
-/// A reading under way.
+/// A pending call to the store.
 pub type SourceFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, SourceError>> + 'a>>;
 
-/// The store as the follower sees it. One instance for each topic, so that none waits for another.
+/// Calls to the store. Each topic is followed through an instance of its own, so that no topic
+/// waits for another.
 pub trait Source {
-    /// Reads all of a topic.
+    /// Reads everything in a topic.
     fn read_all(&mut self, topic: Topic) -> SourceFuture<'_, Batch>;
 
-    /// Waits for changes after a revision, at most `wait_ms`; none is an empty batch.
+    /// Waits up to `wait_ms` milliseconds for changes after a revision; returns an empty batch if
+    /// there were none.
     fn read_changes(
         &mut self,
         topic: Topic,
@@ -240,18 +246,18 @@
         wait_ms: u64,
     ) -> SourceFuture<'_, Batch>;
 
-    /// Lists this gateway for its peers.
+    /// Writes this gateway's entry, by which peers find it.
     fn register(&mut self, name: &str, address: SocketAddr) -> SourceFuture<'_, ()>;
 
-    /// Writes that a work is held.
+    /// Writes that a work is quarantined.
     fn put_hold(&mut self, hold: &Told) -> SourceFuture<'_, ()>;
 
-    /// Writes that a work isn't held any more.
+    /// Removes the entry of a quarantined work.
     fn remove_hold(&mut self, work: WorkKey) -> SourceFuture<'_, ()>;
 }
 
-/// Makes sources.
+/// Creates connections to the store.
 pub trait SourceFactory: Send {
-    /// A source with a connection of its own.
+    /// Creates a source with a connection of its own.
     fn source(&self) -> Box<dyn Source>;
 }
--- a/crates/mgs-relay/src/traffic.rs
+++ b/crates/mgs-relay/src/traffic.rs
@@ -1,7 +1,7 @@
-//! The account of the bytes that a gateway carries, by what they are for.
+//! Accounts for the bytes that a gateway transfers, by purpose.
 //!
-//! Bytes between availability zones are paid for, and messages to peers grow with the square of the gateways, so an
-//! operator must see what makes them.
+//! Traffic between availability zones costs money, and the messages between gateways grow with the
+//! square of their number, so operators need to see what causes it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,23 +12,23 @@
 
 use crate::core::Core;
 
-/// Time between two lines of the log.
+/// Time between two log lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What bytes are for. Those of fields and of the transport aren't counted.
+/// What bytes are transferred for. Header fields and transport overhead aren't counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TrafficKind {
-    /// Bodies from clients.
+    /// Request bodies from clients.
     Requests,
-    /// Bodies to endpoints, each time they are sent.
+    /// Request bodies to endpoints, counted each time they are sent.
     Dispatches,
-    /// Bodies from endpoints.
+    /// Response bodies from endpoints.
     Answers,
-    /// Messages to peers of what was placed, for each peer.
+    /// Short messages to peers about new work, counted for each peer.
     ShortMessages,
-    /// Messages to peers of all that is held.
+    /// Whole messages to peers about all work held, counted for each peer.
     WholeMessages,
-    /// Messages to peers of requests that crash endpoints.
+    /// Messages to peers about requests that crash endpoints, counted for each peer.
     CrashMessages,
     /// Messages from peers.
     HeardMessages,
@@ -45,7 +45,7 @@
         Self::HeardMessages,
     ];
 
-    /// Name in counters.
+    /// Label in counters.
     fn name(self) -> &'static str {
         match self {
             Self::Requests => "requests",
@@ -59,7 +59,7 @@
     }
 }
 
-/// Bytes carried since the last line.
+/// Bytes transferred since the last log line.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
     unreported: [Cell<u64>; TrafficKind::ALL.len()],
@@ -71,7 +71,7 @@
         cell.set(cell.get() + bytes as u64);
     }
 
-    /// Takes what was carried into the counters, and answers it.
+    /// Adds the bytes to the counters, and returns and resets them.
     fn drain_into(&self, counters: &Counters) -> [u64; TrafficKind::ALL.len()] {
         TrafficKind::ALL.map(|kind| {
             let bytes = self.unreported[kind as usize].take();
@@ -81,7 +81,7 @@
     }
 }
 
-/// Tells what was carried until the process ends.
+/// Logs the bytes transferred, until the process ends.
 pub(crate) async fn report(core: Rc<Core>) {
     loop {
         sleep(REPORT_INTERVAL).await;
--- a/crates/mgs-relay/src/view.rs
+++ b/crates/mgs-relay/src/view.rs
@@ -1,5 +1,5 @@
-//! The configuration and the fleet as the path of a request reads them: replaced as a whole, never
-//! changed in place.
+//! The configuration and the fleet as request handling reads them. Both are immutable snapshots
+//! that are replaced as a whole.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,17 +25,17 @@
 use crate::source::EndpointFacts;
 use crate::source::Incarnation;
 
-/// What may be done again with a request of a route.
+/// How a route's requests are answered, and whether they may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once.
     NonIdempotent,
-    /// Answered by a series of events.
+    /// Answered by a stream of events.
     Streaming {
-        /// Whether another endpoint may go on after the last event that was passed on; then it may also
-        /// run more than once.
+        /// Whether another endpoint may continue after the last event that was passed on; the
+        /// request may then run more than once.
         resumable: bool,
     },
 }
@@ -59,79 +59,80 @@
         }
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the answer is a stream of events.
     pub fn is_streaming(self) -> bool {
         matches!(self, Self::Streaming { .. })
     }
 }
 
-/// A service and its share of a route's requests.
+/// A service that receives a weighted share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceShare {
     /// Name of the service.
     pub service: String,
-    /// Its weight beside the others.
+    /// Weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// Start of the paths that it takes.
+    /// Prefix of the paths that it serves.
     pub path_prefix: String,
-    /// What may be done again.
+    /// How its requests are answered, and whether they may run more than once.
     pub kind: RouteKind,
-    /// Longest time that a client is kept waiting, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time to an answer (or its first event) that is on time, in milliseconds.
+    /// Target latency of the answer, or of its first event, in milliseconds.
     pub aim_ms: u64,
-    /// Longest pause between events that is on time, in milliseconds; 0 if there are no events.
+    /// Target for the longest pause between two events, in milliseconds; 0 if there are no events.
     pub pause_ms: u64,
-    /// Longest silence that clients bear before the first event and between two, in milliseconds.
+    /// Longest silence that clients tolerate before the first event and between two events, in
+    /// milliseconds.
     pub patience_ms: u64,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// The services that it goes to.
+    /// Services that its requests are split between.
     pub shares: Vec<ServiceShare>,
-    /// Most endpoints that one request may run on.
+    /// Maximum number of endpoints that one request may run on.
     pub attempts_max: u32,
-    /// Whether it needs no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
 }
 
-/// An organisation.
+/// An organisation, that is, a customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Organisation {
     /// Its name.
     pub name: String,
-    /// Rank of its requests, before the route's.
+    /// Priority of its requests; replaces the route's if set.
     pub priority: Option<u8>,
 }
 
 /// A service.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Service {
-    /// Figures of its engines; `None` for a plain service.
+    /// Performance model of its engines; `None` for a plain service.
     pub engine: Option<Arc<EngineModel>>,
 }
 
-/// Bounds on what a client may send.
+/// Limits on what a client may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Longest head, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to arrive, in milliseconds.
+    /// Timeout for receiving a head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Longest time for which a connection may be idle, in milliseconds.
+    /// Timeout of an idle connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
-    /// Bounds for the time before a configuration is known.
+    /// Limits that apply until a configuration is known.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -142,25 +143,25 @@
     }
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its version; a newer one has a greater number.
+    /// Version; a newer configuration has a greater one.
     pub version: u64,
-    /// Routes by host name in lower case, longest prefix first.
+    /// Routes by lower-case host name, longest path prefix first.
     pub routes: HashMap<String, Vec<Arc<Route>>>,
     /// Services by name.
     pub services: HashMap<String, Service>,
-    /// Organisations by key; without any, no request needs a key.
+    /// Organisations by API key; without any, no request needs a key.
     pub organisations: HashMap<String, Arc<Organisation>>,
     /// Whether organisations are in use.
     pub needs_keys: bool,
-    /// Bounds on what clients send.
+    /// Limits on what clients may send.
     pub limits: Limits,
 }
 
 impl Configuration {
-    /// The route of a request: among those of the host, the one with the longest matching prefix.
+    /// Finds the route of a request: the one of the host with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes
@@ -169,26 +170,26 @@
     }
 }
 
-/// One endpoint.
+/// An endpoint of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Key of this incarnation, stable while the process lives.
+    /// Key of this incarnation, unique and stable within this process.
     pub key: EndpointKey,
-    /// What it says of itself.
+    /// What the endpoint reports about itself.
     pub facts: EndpointFacts,
 }
 
-/// All endpoints that are known.
+/// All known endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
-    /// By service; leaving ones are listed too.
+    /// Endpoints by service, including those that are shutting down.
     pub by_service: HashMap<String, Vec<Arc<Endpoint>>>,
-    /// By key.
+    /// Endpoints by key.
     pub by_key: HashMap<EndpointKey, Arc<Endpoint>>,
 }
 
 impl Fleet {
-    /// A fleet of these endpoints.
+    /// Builds a fleet of the given endpoints.
     pub fn of(endpoints: Vec<Endpoint>) -> Self {
         let mut fleet = Self::default();
         for endpoint in endpoints {
@@ -200,8 +201,8 @@
         fleet
     }
 
-    /// Whether an endpoint is listed in a later life than this one. One that isn't listed may still serve what it
-    /// has.
+    /// Whether another incarnation is listed under the same identifier. An incarnation that isn't
+    /// listed at all may still serve the requests that it has.
     pub fn has_restarted(&self, incarnation: &Incarnation) -> bool {
         let is_other = |endpoint: &Arc<Endpoint>| {
             let listed = &endpoint.facts.incarnation;
@@ -219,20 +220,20 @@
 /// Settings that may change while the process runs.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LiveSettings {
-    /// Second tries.
+    /// Retry budget.
     pub budget: BudgetOptions,
-    /// Leaving.
+    /// Graceful shutdown.
     pub drain: drain::Options,
 }
 
-/// What is in force, published by the thread that follows the store and read by the one that serves.
+/// The state that the thread following the store publishes and the serving thread reads.
 #[derive(Debug)]
 pub struct Published {
     configuration: ArcSwapOption<Configuration>,
     fleet: ArcSwap<Fleet>,
     endpoint_hashes: ArcSwap<HashMap<u64, EndpointKey>>,
     peers: ArcSwap<Vec<SocketAddr>>,
-    /// Gateways that the store lists; 0 before it has been read.
+    /// Number of gateways that the store lists, including this one; 0 before the list was read.
     listed_gateways: AtomicUsize,
     live_settings: ArcSwap<LiveSettings>,
     started: Instant,
@@ -244,7 +245,7 @@
 }
 
 impl Published {
-    /// Nothing known yet; the process's clock starts now.
+    /// Creates a state in which nothing is known yet. The process's clock starts here.
     pub fn new() -> Self {
         Self {
             configuration: ArcSwapOption::empty(),
@@ -267,7 +268,7 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// The same with its fraction, for decisions.
+    /// The same time with its fraction, for decisions.
     pub fn now_exact_ms(&self) -> f64 {
         self.started.elapsed().as_secs_f64() * 1e3
     }
@@ -282,7 +283,8 @@
         self.fleet.load_full()
     }
 
-    /// Puts a configuration in force, unless one as new is in force already; tells whether it did.
+    /// Puts a configuration in force unless the one in force is as new or newer; returns whether it
+    /// did.
     pub fn put_configuration(&self, configuration: Configuration) -> bool {
         let known = self.configuration.load();
         let is_newer = known
@@ -297,22 +299,23 @@
         is_newer
     }
 
-    /// Keys of the endpoints by the hash of their incarnations, which gateways tell each other.
+    /// Endpoint keys by the hash of their incarnations, by which gateways name endpoints to each
+    /// other.
     pub fn endpoint_hashes(&self) -> Arc<HashMap<u64, EndpointKey>> {
         self.endpoint_hashes.load_full()
     }
 
-    /// The settings that may change.
+    /// The settings that may change at run time.
     pub fn live_settings(&self) -> Arc<LiveSettings> {
         self.live_settings.load_full()
     }
 
-    /// Replaces the settings that may change.
+    /// Replaces the settings that may change at run time.
     pub fn put_live_settings(&self, live_settings: LiveSettings) {
         self.live_settings.store(Arc::new(live_settings));
     }
 
-    /// Where the other gateways listen.
+    /// Addresses of the other gateways.
     pub fn peers(&self) -> Arc<Vec<SocketAddr>> {
         self.peers.load_full()
     }
@@ -322,13 +325,14 @@
         self.peers.store(Arc::new(peers));
     }
 
-    /// How many gateways the store lists, this one included; `None` before it has been read.
+    /// Number of gateways that the store lists, including this one; `None` before the list was
+    /// read.
     pub fn listed_gateways(&self) -> Option<usize> {
         let listed = self.listed_gateways.load(Ordering::Relaxed);
         (listed > 0).then_some(listed)
     }
 
-    /// Sets how many gateways the store lists, this one included.
+    /// Sets the number of gateways that the store lists, including this one.
     pub fn put_listed_gateways(&self, gateways: usize) {
         self.listed_gateways.store(gateways, Ordering::Relaxed);
     }
@@ -342,42 +346,43 @@
         self.completion.notify_waiters();
     }
 
-    /// How fresh the configuration is.
+    /// Freshness of the configuration.
     pub fn configuration_freshness(&self) -> &Freshness {
         &self.configuration_freshness
     }
 
-    /// Works that are held, as the store keeps them.
+    /// The quarantined works as the store keeps them.
     pub fn holds(&self) -> &Holds {
         &self.holds
     }
 
-    /// How fresh the fleet is.
+    /// Freshness of the list of endpoints.
     pub fn endpoint_freshness(&self) -> &Freshness {
         &self.endpoint_freshness
     }
 
-    /// Time since the configuration was last confirmed; `None` if it never was.
+    /// Time since the configuration was last confirmed, in milliseconds; `None` if it never was.
     pub fn configuration_age_ms(&self) -> Option<u64> {
         self.configuration_freshness.age_ms(self.now_ms())
     }
 
-    /// Time since the fleet was last confirmed; `None` if it never was.
+    /// Time since the list of endpoints was last confirmed, in milliseconds; `None` if it never
+    /// was.
     pub fn fleet_age_ms(&self) -> Option<u64> {
         self.endpoint_freshness.age_ms(self.now_ms())
     }
 
-    /// Whether this gateway is one of those that ask the store often.
+    /// Whether this gateway is a reader, one of the few that poll the store at short intervals.
     pub fn is_reader(&self) -> bool {
         self.is_reader.load(Ordering::Relaxed)
     }
 
-    /// Makes it one of them, or not; tells whether that is a change.
+    /// Sets whether this gateway is a reader; returns whether that changed.
     pub fn set_is_reader(&self, is_reader: bool) -> bool {
         self.is_reader.swap(is_reader, Ordering::Relaxed) != is_reader
     }
 
-    /// Comes back when there is what serving needs; waits for nothing if there is.
+    /// Waits until [`Self::is_complete`] holds.
     pub async fn until_complete(&self) {
         loop {
             let mut changed = std::pin::pin!(self.completion.notified());
@@ -389,7 +394,8 @@
         }
     }
 
-    /// Whether there is what serving needs: a configuration, and a fleet that was read or heard of.
+    /// Whether everything is known that serving needs: a configuration, and a list of endpoints
+    /// from the store or a peer.
     pub fn is_complete(&self) -> bool {
         let has_fleet = self.fleet_age_ms().is_some() || !self.fleet.load().by_key.is_empty();
         self.configuration.load().is_some() && has_fleet
--- a/crates/mgs-relay/src/wait.rs
+++ b/crates/mgs-relay/src/wait.rs
@@ -152,7 +152,7 @@
 
 impl Waiting {
     fn new(core: &Rc<Core>) -> Self {
-        let number = core.next_id();
+        let number = core.next_serial();
         Self {
             core: core.clone(),
             number,
--- a/crates/mgs-relay/tests/freshness.rs
+++ b/crates/mgs-relay/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Who knows better, and when a waiting call is given up.
+//! Which of two contents is newer, and when a pending long poll is given up.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     }
 }
 
-fn known(kind: ContentKind, content_id: u64, confirmed_ms: u64) -> Freshness {
+fn freshness_of(kind: ContentKind, content_id: u64, confirmed_ms: u64) -> Freshness {
     let freshness = Freshness::new(kind);
     freshness.set_content_id(content_id);
     freshness.confirm(confirmed_ms);
@@ -33,20 +33,20 @@
 #[case::same_hash(ContentKind::Hashes, 7, 900, false)]
 #[case::other_hash_confirmed_later(ContentKind::Hashes, 6, 900, true)]
 #[case::other_hash_confirmed_before(ContentKind::Hashes, 8, 100, false)]
-fn a_peer_knows_better(
+fn a_peer_has_newer_content(
     #[case] kind: ContentKind,
     #[case] content_id: u64,
     #[case] confirmed_ms: u64,
     #[case] newer_report: bool,
 ) {
-    let freshness = known(kind, 7, 500);
+    let freshness = freshness_of(kind, 7, 500);
     freshness.record_report(report(content_id, confirmed_ms));
     assert_eq!(freshness.newer_report().is_some(), newer_report);
 }
 
 #[test]
-fn a_peer_that_knows_the_same_confirms_it_and_never_takes_that_back() {
-    let freshness = known(ContentKind::Versions, 7, 500);
+fn a_report_of_the_same_content_confirms_it_and_never_goes_back() {
+    let freshness = freshness_of(ContentKind::Versions, 7, 500);
     freshness.record_report(report(7, 900));
     assert_eq!(freshness.age_ms(1_000), Some(100));
     freshness.record_report(report(7, 300));
@@ -56,21 +56,21 @@
 }
 
 #[test]
-fn a_call_is_given_up_once_for_each_thing_that_peers_know() {
-    let freshness = known(ContentKind::Hashes, 7, 500);
+fn a_long_poll_is_given_up_once_for_each_reported_content() {
+    let freshness = freshness_of(ContentKind::Hashes, 7, 500);
     freshness.record_report(report(8, 900));
     assert!(freshness.should_abort_wait());
     freshness.record_report(report(8, 950));
     assert!(
         !freshness.should_abort_wait(),
-        "views that differ for good make no calls"
+        "views that never converge cause no further calls"
     );
     freshness.record_report(report(9, 990));
     assert!(freshness.should_abort_wait());
 }
 
 #[test]
-fn what_nothing_confirms_gets_stale() {
+fn content_without_confirmation_becomes_stale() {
     let freshness = Freshness::new(ContentKind::Versions);
     assert!(freshness.is_stale(0));
     freshness.confirm(1_000);
@@ -79,13 +79,13 @@
 }
 
 #[test]
-fn a_peer_that_has_read_the_store_since_it_was_lost_is_news() {
+fn a_peer_that_read_the_store_after_it_was_lost_notifies() {
     let runtime = Builder::new_current_thread()
         .enable_time()
         .build()
         .expect("a runtime");
     let is_notified = |confirmed_ms| {
-        let freshness = known(ContentKind::Versions, 7, 500);
+        let freshness = freshness_of(ContentKind::Versions, 7, 500);
         freshness.mark_store_lost(800);
         freshness.record_report(report(7, confirmed_ms));
         let notified = async { timeout(Duration::from_millis(5), freshness.notified()).await };
--- a/crates/mgs-relay/tests/incarnations.rs
+++ b/crates/mgs-relay/tests/incarnations.rs
@@ -1,8 +1,9 @@
-//! Endpoints that start again under their identifier, and entries by other writers, in any order.
+//! Endpoints that restart under the same identifier, and entries by other writers, in any order.
 //!
-//! What operators feared: two lives of an endpoint under one identifier were one to a gateway, so what it believed of the
-//! first (work placed there, failures, memory set aside) was taken for the second; an older life's entry that came
-//! late replaced the newer one; and whoever wrote an entry with a listed address ended the true one.
+//! These tests guard against three faults. Two incarnations under one identifier were one endpoint
+//! to a gateway, so what it knew of the first (work placed there, failures, reserved memory) was
+//! applied to the second. A late entry of an older incarnation replaced the newer one. And any
+//! entry with a listed address removed the endpoint that was really there.
 
 use std::collections::HashMap;
 
@@ -44,17 +45,21 @@
 }
 
 #[test]
-fn a_start_under_the_same_identifier_is_another_endpoint() {
+fn a_restart_under_the_same_identifier_is_a_new_endpoint() {
     let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
-    endpoints.upsert(facts(1, Some(10)), true).expect("used");
+    endpoints
+        .upsert(facts(1, Some(10)), true)
+        .expect("accepted");
     let first = key_of(&endpoints, 1);
     let before = endpoints.content_hash();
-    endpoints.upsert(facts(1, Some(20)), true).expect("used");
+    endpoints
+        .upsert(facts(1, Some(20)), true)
+        .expect("accepted");
     assert_ne!(key_of(&endpoints, 1), first);
     assert_ne!(
         endpoints.content_hash(),
         before,
-        "peers see that it isn't the same"
+        "peers see that it is a new incarnation"
     );
     let earlier = facts(1, Some(10)).incarnation;
     assert!(endpoints.fleet().has_restarted(&earlier));
@@ -73,27 +78,37 @@
     #[case] is_used: bool,
 ) {
     let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
-    endpoints.upsert(facts(1, Some(20)), true).expect("used");
+    endpoints
+        .upsert(facts(1, Some(20)), true)
+        .expect("accepted");
     let key = key_of(&endpoints, 1);
     assert_eq!(endpoints.upsert(facts(1, born_ms), true), expected);
     assert_eq!(key_of(&endpoints, 1), key.filter(|_| is_used));
-    endpoints.upsert(facts(1, Some(20)), true).expect("used");
-    assert_eq!(key_of(&endpoints, 1), key, "the same life is known again");
+    endpoints
+        .upsert(facts(1, Some(20)), true)
+        .expect("accepted");
+    assert_eq!(
+        key_of(&endpoints, 1),
+        key,
+        "the same incarnation keeps its key"
+    );
 }
 
 #[test]
-fn an_endpoint_that_never_told_its_start_stays_in_use() {
+fn an_endpoint_that_never_reported_its_start_stays_in_use() {
     let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
-    endpoints.upsert(facts(1, None), true).expect("used");
+    endpoints.upsert(facts(1, None), true).expect("accepted");
     let key = key_of(&endpoints, 1);
-    endpoints.upsert(facts(1, None), true).expect("used");
+    endpoints.upsert(facts(1, None), true).expect("accepted");
     assert_eq!(key_of(&endpoints, 1), key);
 }
 
 #[test]
-fn an_older_start_is_remembered_after_the_endpoint_is_gone() {
+fn the_latest_start_is_remembered_after_the_endpoint_is_removed() {
     let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
-    endpoints.upsert(facts(1, Some(20)), true).expect("used");
+    endpoints
+        .upsert(facts(1, Some(20)), true)
+        .expect("accepted");
     endpoints.mark_missing("i-1", 100);
     endpoints.drop_missing(100);
     assert_eq!(
@@ -104,7 +119,7 @@
 }
 
 /// An entry with the address of a listed endpoint.
-fn at_address_of_1(born_ms: Option<u64>, service: &str) -> EndpointFacts {
+fn facts_at_address_of_1(born_ms: Option<u64>, service: &str) -> EndpointFacts {
     EndpointFacts {
         address: facts(1, None).address,
         service: service.to_string(),
@@ -113,44 +128,55 @@
 }
 
 #[rstest]
-#[case::of_a_service_that_nobody_names(None, None, false, true)]
+#[case::of_an_unknown_service(None, None, false, true)]
 #[case::written_later(None, None, true, false)]
 #[case::started_later(Some(10), Some(20), true, false)]
 #[case::started_earlier(Some(20), Some(10), true, true)]
-#[case::that_tells_no_start(Some(20), None, true, true)]
-#[case::that_tells_one_where_the_other_doesn_t(None, Some(20), true, true)]
+#[case::without_a_start(Some(20), None, true, true)]
+#[case::with_a_start_where_the_other_has_none(None, Some(20), true, true)]
 fn an_entry_at_a_listed_address(
     #[case] listed_born_ms: Option<u64>,
     #[case] born_ms: Option<u64>,
     #[case] is_service_known: bool,
-    #[case] stays: bool,
+    #[case] is_kept: bool,
 ) {
     let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
     endpoints
         .upsert(facts(1, listed_born_ms), true)
-        .expect("used");
-    let taken = endpoints.upsert(at_address_of_1(born_ms, "other"), is_service_known);
-    assert_eq!(key_of(&endpoints, 1).is_some(), stays, "{taken:?}");
+        .expect("accepted");
+    let result = endpoints.upsert(facts_at_address_of_1(born_ms, "other"), is_service_known);
+    assert_eq!(key_of(&endpoints, 1).is_some(), is_kept, "{result:?}");
 }
 
 #[test]
-fn an_unreadable_row_hides_its_endpoint_until_it_is_right_again() {
+fn an_unreadable_row_hides_its_endpoint_until_it_is_readable_again() {
     let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
     for id in 1..=2 {
-        endpoints.upsert(facts(id, Some(10)), true).expect("used");
+        endpoints
+            .upsert(facts(id, Some(10)), true)
+            .expect("accepted");
     }
     let key = key_of(&endpoints, 1);
     endpoints.mark_unreadable("i-1");
     endpoints.mark_unreadable("nobody");
     assert_eq!(key_of(&endpoints, 1), None);
-    assert!(key_of(&endpoints, 2).is_some(), "the others hold");
-    endpoints.upsert(facts(1, Some(10)), true).expect("used");
+    assert!(
+        key_of(&endpoints, 2).is_some(),
+        "the other endpoints are unaffected"
+    );
+    endpoints
+        .upsert(facts(1, Some(10)), true)
+        .expect("accepted");
     assert_eq!(key_of(&endpoints, 1), key);
     endpoints.mark_unreadable("i-1");
     endpoints.note_outage_end(0, 100);
     endpoints.mark_missing("i-1", 100);
     endpoints.drop_missing(200);
-    assert_eq!(key_of(&endpoints, 1), None, "it didn't lapse in an outage");
+    assert_eq!(
+        key_of(&endpoints, 1),
+        None,
+        "its entry didn't expire in an outage"
+    );
 }
 
 /// Something that happens to the entries.
@@ -162,13 +188,13 @@
         born_ms: Option<u64>,
         is_leaving: bool,
     },
-    /// A row can't be read.
+    /// A row can't be parsed.
     Unreadable { id: u8 },
-    /// A row is gone.
+    /// A row was removed.
     Gone { id: u8 },
-    /// The store was away until now.
+    /// An outage of the store has ended.
     OutageEnded,
-    /// A peer tells what it has read.
+    /// A peer sends the list that it has read.
     Peer { entries: Vec<(u8, u64)> },
 }
 
@@ -197,7 +223,7 @@
                 is_leaving: *is_leaving,
                 ..facts(*id, *born_ms)
             };
-            // Whether it is taken is what the properties tell.
+            // The properties check whether it is accepted.
             let _ = endpoints.upsert(entry, true);
         }
         Event::Unreadable { id } => endpoints.mark_unreadable(&format!("i-{id}")),
@@ -213,11 +239,12 @@
     endpoints.drop_missing(now_ms);
 }
 
-/// What the entries so far say, kept apart from the code under test.
+/// The expected state after the entries so far, computed independently of the code under test.
 #[derive(Debug, Default)]
 struct Expected {
     newest_ms: HashMap<u8, u64>,
-    /// Whether the last row of an identifier can be read and says enough.
+    /// Whether the last row of an identifier can be parsed and reports a start if an earlier one
+    /// did.
     is_usable: HashMap<u8, bool>,
 }
 
@@ -254,30 +281,31 @@
 }
 
 proptest! {
-    /// An endpoint in use is one whose newest readable entry says so, and no key is ever another life's.
+    /// Each usable endpoint is the one of its newest parsable entry, and no key is reused for
+    /// another incarnation.
     #[test]
-    fn whatever_comes_in_whichever_order(events in prop::collection::vec(event(), 1..60)) {
+    fn only_the_newest_incarnation_is_used(events in prop::collection::vec(event(), 1..60)) {
         let mut endpoints = Endpoints::new(EXPIRY_GRACE_MS);
         let mut expected = Expected::default();
-        let mut lives: HashMap<EndpointKey, Incarnation> = HashMap::new();
+        let mut incarnations: HashMap<EndpointKey, Incarnation> = HashMap::new();
         for (step, event) in events.iter().enumerate() {
             expected.record(event);
             apply(&mut endpoints, event, step as u64 * 700);
             for endpoint in endpoints.fleet().by_key.values() {
-                let life = &endpoint.facts.incarnation;
-                let id: u8 = life.id[2..].parse().expect("a number");
+                let incarnation = &endpoint.facts.incarnation;
+                let id: u8 = incarnation.id[2..].parse().expect("a number");
                 let newest_ms = expected.newest_ms.get(&id).copied();
-                prop_assert_eq!(life.born_ms, newest_ms, "{:?}", event);
-                prop_assert!(expected.is_usable.get(&id) == Some(&true), "{:?} after {:?}", life, event);
-                let first = lives.entry(endpoint.key).or_insert_with(|| life.clone());
-                prop_assert_eq!(&*first, life, "a key of two lives");
+                prop_assert_eq!(incarnation.born_ms, newest_ms, "{:?}", event);
+                prop_assert!(expected.is_usable.get(&id) == Some(&true), "{:?} after {:?}", incarnation, event);
+                let first = incarnations.entry(endpoint.key).or_insert_with(|| incarnation.clone());
+                prop_assert_eq!(&*first, incarnation, "one key for two incarnations");
             }
         }
     }
 
     /// Two gateways that have read the same in the end agree, whatever each read before.
     #[test]
-    fn gateways_agree_in_the_end(events in prop::collection::vec(event(), 1..40)) {
+    fn gateways_that_read_the_same_list_agree(events in prop::collection::vec(event(), 1..40)) {
         let (mut one, mut other) = (Endpoints::new(EXPIRY_GRACE_MS), Endpoints::new(EXPIRY_GRACE_MS));
         for (step, event) in events.iter().enumerate() {
             apply(&mut one, event, step as u64 * 700);
--- a/crates/mgs-relay/tests/membership.rs
+++ b/crates/mgs-relay/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The endpoints that are listed, as several gateways see them.
+//! The list of endpoints, as several gateways see it.
 
 use mgs_relay::membership::Endpoints;
 use mgs_relay::source::EndpointFacts;
@@ -25,13 +25,13 @@
     for number in numbers {
         endpoints
             .upsert(facts(*number), true)
-            .expect("an entry to use");
+            .expect("a valid entry");
     }
     endpoints
 }
 
 #[test]
-fn content_is_alike_for_the_same_list_in_any_order() {
+fn content_hash_is_independent_of_the_order() {
     assert_eq!(
         listed(&[1, 2, 3]).content_hash(),
         listed(&[3, 1, 2]).content_hash()
@@ -43,31 +43,29 @@
     assert_ne!(
         listed(&[]).content_hash(),
         0,
-        "nothing was read yet is told apart"
+        "0 stands for a list that was never read"
     );
 }
 
 #[test]
-fn content_tells_who_leaves_and_leaves_out_whose_entry_lapsed() {
+fn content_hash_covers_shutdowns_and_omits_expired_entries() {
     let mut leaving = listed(&[1, 2]);
     let leaving_facts = EndpointFacts {
         is_leaving: true,
         ..facts(2)
     };
-    leaving
-        .upsert(leaving_facts, true)
-        .expect("an entry to use");
+    leaving.upsert(leaving_facts, true).expect("a valid entry");
     assert_ne!(leaving.content_hash(), listed(&[1, 2]).content_hash());
-    let mut lapsed = listed(&[1, 2]);
-    lapsed.note_outage_end(0, 100);
-    lapsed.mark_missing("i-2", 200);
-    lapsed.drop_missing(300);
-    assert_eq!(lapsed.fleet().by_key.len(), 2, "still used");
-    assert_eq!(lapsed.content_hash(), listed(&[1]).content_hash());
+    let mut expired = listed(&[1, 2]);
+    expired.note_outage_end(0, 100);
+    expired.mark_missing("i-2", 200);
+    expired.drop_missing(300);
+    assert_eq!(expired.fleet().by_key.len(), 2, "still used");
+    assert_eq!(expired.content_hash(), listed(&[1]).content_hash());
 }
 
 #[test]
-fn a_peers_list_replaces_our_own_and_keeps_keys() {
+fn a_peers_list_replaces_the_own_one_and_keeps_keys() {
     let mut endpoints = listed(&[1, 2]);
     let key = |endpoints: &Endpoints, id: &str| {
         let fleet = endpoints.fleet();
@@ -82,18 +80,23 @@
     assert_eq!(endpoints.content_hash(), listed(&[2, 3]).content_hash());
 }
 
-/// Found by a hunt (kitami-leasing, scale-2, seed 1057906029073): a host that was cut off from the store until 13.0 s found it
-/// again for the configuration at 13.4 s and for the endpoints at 13.9 s. The second finding counted as the end of another
-/// outage, so an endpoint that had left at 13.45 s was used until 16.1 s, as its entry might have lapsed (the host's log:
-/// `the store is back` twice, `endpoint not listed any more` between, requests reaching the endpoint until 16.04 s).
+/// A host that was cut off from the store until 13.0 s noticed its return for the configuration at
+/// 13.4 s and for the endpoints at 13.9 s. The second notice was taken for the end of another
+/// outage, so an endpoint that had left at 13.45 s was used until 16.1 s, since its entry might
+/// have expired. The host logged `the store is back` twice with `endpoint not listed any more`
+/// between them, and requests reached the endpoint until 16.04 s.
 #[test]
-fn the_end_of_an_outage_counts_once_however_many_topics_find_it() {
+fn the_end_of_an_outage_counts_once_however_many_topics_notice_it() {
     let mut endpoints = listed(&[1, 2]);
     endpoints.note_outage_end(20, 100);
     endpoints.mark_missing("i-2", 200);
     endpoints.note_outage_end(50, 600);
     endpoints.drop_missing(2_200);
-    assert_eq!(endpoints.fleet().by_key.len(), 2, "it may have lapsed");
+    assert_eq!(
+        endpoints.fleet().by_key.len(),
+        2,
+        "its entry may have expired"
+    );
     endpoints.drop_missing(2_400);
     assert_eq!(endpoints.fleet().by_key.len(), 1);
     endpoints.note_outage_end(4_000, 5_000);
@@ -103,7 +106,7 @@
 }
 
 #[test]
-fn an_outage_that_begins_after_another_has_ended_is_one_of_its_own() {
+fn an_outage_that_begins_after_another_has_ended_is_separate() {
     let mut endpoints = listed(&[1, 2]);
     endpoints.note_outage_end(0, 100);
     endpoints.mark_missing("i-2", 100);
@@ -112,6 +115,6 @@
     assert_eq!(
         endpoints.fleet().by_key.len(),
         2,
-        "nothing could come back between"
+        "no entry could be written again in between"
     );
 }
--- a/crates/mgs-relay/tests/rollback.rs
+++ b/crates/mgs-relay/tests/rollback.rs
@@ -1,5 +1,5 @@
-//! What a gateway believes of endpoints while the store comes back from older copies, whatever the order of writes, copies and
-//! readings.
+//! Which endpoints a gateway uses while the store is restored from older copies, whatever the order
+//! of writes, restorations and reads.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -21,21 +21,21 @@
 
 const EXPIRY_GRACE_MS: u64 = 2_200;
 
-/// Endpoints, each with an address of its own.
+/// Number of endpoints, each with an address of its own.
 const ENDPOINT_COUNT: usize = 4;
 
-/// Something that happens.
+/// A step of a history.
 #[derive(Debug, Clone)]
 enum Event {
-    /// An endpoint says that it leaves.
+    /// An endpoint announces its shutdown.
     Leave(usize),
-    /// It has gone.
+    /// It ends, and its entry is removed.
     Remove(usize),
-    /// Another life of it starts.
+    /// A new incarnation of it starts.
     Start(usize),
-    /// The store comes back as it was so many writes before.
+    /// The store is restored from a copy that lacks this many of the last writes.
     RollBack(usize),
-    /// Whoever lives writes again what it is, some of them only.
+    /// The endpoint writes its entry again if it is alive; not all of them do after a restoration.
     Rewrite(usize),
     /// The gateway reads.
     Read,
@@ -48,16 +48,16 @@
     Gone,
 }
 
-struct World {
+struct Simulation {
     log: Vec<(String, Option<EndpointFacts>)>,
     era: u64,
     states: Vec<(u64, State)>,
     endpoints: Endpoints,
-    /// Up to where the gateway has read, in which era.
+    /// Era and log position up to which the gateway has read.
     cursor: Option<(u64, usize)>,
-    /// Lives that the gateway has heard to leave or end.
+    /// Incarnations that the gateway knows to have announced their shutdown or to have ended.
     known_ended: HashSet<Incarnation>,
-    /// Lives that the gateway knew after its last reading.
+    /// Incarnations that the gateway knew after its last read.
     known: HashSet<Incarnation>,
     now_ms: u64,
     apply_entry: ApplyEntry,
@@ -74,7 +74,7 @@
     endpoints.apply(facts, true, origin, now_ms)
 }
 
-/// Takes the copy's word over what was heard.
+/// Applies each entry as a change, so that a restored copy overrides what was known.
 fn apply_as_change(
     endpoints: &mut Endpoints,
     facts: EndpointFacts,
@@ -84,9 +84,9 @@
     endpoints.apply(facts, true, Origin::Change, now_ms)
 }
 
-impl World {
+impl Simulation {
     fn new(apply_entry: ApplyEntry) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             log: Vec::new(),
             era: 1,
             states: vec![(1, State::Ready); ENDPOINT_COUNT],
@@ -97,9 +97,9 @@
             now_ms: 0,
             apply_entry,
         };
-        (0..ENDPOINT_COUNT).for_each(|index| world.write(index));
-        world.read();
-        world
+        (0..ENDPOINT_COUNT).for_each(|index| simulation.write(index));
+        simulation.read();
+        simulation
     }
 
     fn facts(&self, index: usize) -> EndpointFacts {
@@ -119,9 +119,9 @@
 
     fn write(&mut self, index: usize) {
         let facts = self.facts(index);
-        let is_there = self.states[index].1 != State::Gone;
+        let is_listed = self.states[index].1 != State::Gone;
         let id = facts.incarnation.id.clone();
-        self.log.push((id, is_there.then_some(facts)));
+        self.log.push((id, is_listed.then_some(facts)));
     }
 
     fn apply(&mut self, event: &Event) {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Reads as a follower does: by the cursor in its era, else all.
+    /// Reads as the follower does: changes since the cursor within an era, else everything.
     fn read(&mut self) {
         match self.cursor {
             Some((era, from)) if era == self.era => self.read_changes(from),
@@ -167,7 +167,7 @@
         let leaving = fleet.by_key.values().filter(|e| e.facts.is_leaving);
         let leaving = leaving.map(|e| e.facts.incarnation.clone());
         self.known_ended.extend(leaving);
-        // What isn't listed may have lapsed for a while; once it is dropped it has gone.
+        // An entry that isn't listed may have expired; once it is dropped, the endpoint has ended.
         let dropped = self.known.difference(&known).cloned();
         self.known_ended.extend(dropped);
         self.known = known;
@@ -181,15 +181,16 @@
                 continue;
             };
             if !facts.is_leaving {
-                // It lives: whoever was taken to have gone has written again.
+                // The incarnation is alive: one that was taken to have ended has written its entry
+                // again.
                 self.known_ended.remove(&facts.incarnation);
             }
-            self.take(facts, Origin::Change);
+            self.submit(facts, Origin::Change);
         }
     }
 
-    /// Takes word of an endpoint; whether it is taken shows in what is used.
-    fn take(&mut self, facts: EndpointFacts, origin: Origin) {
+    /// Applies an entry; whether it is accepted shows in which endpoints are used.
+    fn submit(&mut self, facts: EndpointFacts, origin: Origin) {
         let _ = (self.apply_entry)(&mut self.endpoints, facts, origin, self.now_ms);
     }
 
@@ -207,7 +208,7 @@
         let updates: Vec<Update> = rows.into_values().map(Update::Endpoint).collect();
         for update in updates.clone() {
             if let Update::Endpoint(facts) = update {
-                self.take(facts, Origin::Snapshot);
+                self.submit(facts, Origin::Snapshot);
             }
         }
         let listed = Endpoints::listed_ids(&updates);
@@ -221,12 +222,13 @@
             .collect()
     }
 
-    /// Whether nothing is used that was heard to leave or to end, lives that were born since aside.
+    /// Whether no incarnation is used that is known to be shutting down or to have ended.
     fn ignores_known_ended(&self) -> bool {
         self.used().is_disjoint(&self.known_ended)
     }
 
-    /// All that live have written again, entries of the others have lapsed, and the gateway has read.
+    /// Lets all live endpoints write their entries again, the other entries expire, and the gateway
+    /// read.
     fn settle(&mut self) {
         (0..ENDPOINT_COUNT).for_each(|index| self.write(index));
         for _ in 0..3 {
@@ -235,7 +237,7 @@
         }
     }
 
-    fn living(&self) -> HashSet<Incarnation> {
+    fn live(&self) -> HashSet<Incarnation> {
         let ready = (0..ENDPOINT_COUNT).filter(|index| self.states[*index].1 == State::Ready);
         ready.map(|index| self.facts(index).incarnation).collect()
     }
@@ -256,28 +258,29 @@
     prop::collection::vec(event(), 0..40)
 }
 
-/// Whether no word that was heard is taken back on the way, and all that live, and no others, are used in the end.
+/// Whether no known shutdown or end is forgotten along the way, and exactly the live endpoints are
+/// used in the end.
 fn is_consistent(history: &[Event], apply_entry: ApplyEntry) -> bool {
-    let mut world = World::new(apply_entry);
+    let mut simulation = Simulation::new(apply_entry);
     for event in history {
-        world.apply(event);
-        if !world.ignores_known_ended() {
+        simulation.apply(event);
+        if !simulation.ignores_known_ended() {
             return false;
         }
     }
-    world.settle();
-    world.used() == world.living()
+    simulation.settle();
+    simulation.used() == simulation.live()
 }
 
 proptest! {
     #[test]
-    fn what_was_heard_goes_before_the_copy_and_nobody_is_lost(history in history()) {
+    fn known_shutdowns_survive_rollbacks_and_no_live_endpoint_is_lost(history in history()) {
         prop_assert!(is_consistent(&history, apply_entry));
     }
 }
 
 #[test]
-fn the_property_finds_a_copy_that_is_taken_over_what_was_heard() {
+fn the_property_detects_a_copy_that_overrides_known_shutdowns() {
     let mut runner = TestRunner::new(Config {
         failure_persistence: None,
         ..Config::default()
