--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -116,7 +116,7 @@
         if self.backpressure.borrow().is_empty() {
             return ShutEndpoints::default();
         }
-        let by_hash = self.published.endpoint_hashes();
+        let by_hash = self.published.endpoint_keys_by_hash();
         let shut = self.backpressure.borrow_mut().shut(self.now_ms());
         let keyed = |(life, shut): (Life, Shut)| Some((*by_hash.get(&life.0)?, shut));
         ShutEndpoints(shut.into_iter().filter_map(keyed).collect())
@@ -182,7 +182,7 @@
         let is_leaving = self.drain.phase() != Phase::Serving;
         let is_known = self.gateways_sharing().is_some() && !is_leaving;
         let gateways = self.gateway_count.borrow().heard_gateways();
-        let by_hash = self.published.endpoint_hashes();
+        let by_hash = self.published.endpoint_keys_by_hash();
         let mut table = self.backpressure.borrow_mut();
         table.set_gateways(Gateways {
             own: self.incarnation,
--- a/crates/mgs-relay/src/broadcast.rs
+++ b/crates/mgs-relay/src/broadcast.rs
@@ -47,7 +47,7 @@
         socket,
         peer_table,
         sequence: 0,
-        wholes_sent: 0,
+        whole_messages_sent: 0,
     };
     loop {
         broadcaster.send_whole().await;
@@ -74,7 +74,7 @@
     /// Sequence number of the last message.
     sequence: u64,
     /// Number of whole messages sent.
-    wholes_sent: u64,
+    whole_messages_sent: u64,
 }
 
 impl Broadcaster {
@@ -95,10 +95,10 @@
         let held = core.board.borrow().own();
         add_held(&mut beacon, &core.published.fleet(), held);
         // Silent peers are sent a message about once a second.
-        let to_all = self.wholes_sent.is_multiple_of(WHOLE_TO_ALL_EVERY);
+        let to_all = self.whole_messages_sent.is_multiple_of(WHOLE_TO_ALL_EVERY);
         self.send(&encode_to_fit(beacon), to_all, TrafficKind::WholeMessages)
             .await;
-        self.wholes_sent += 1;
+        self.whole_messages_sent += 1;
     }
 
     /// Sends what this gateway has come to hold since the last message.
@@ -151,7 +151,7 @@
 /// Refusals to help that are to be reported: new ones, or all of them.
 fn refusals(core: &Core, fleet: &Fleet, is_all: bool) -> Vec<RefusedAt> {
     let (now_ms, confirmed_ms) = (core.now_whole_ms(), core.fleet_confirmed_ms());
-    let told = core
+    let refused = core
         .helpers
         .borrow_mut()
         .take_told(is_all, now_ms, confirmed_ms);
@@ -161,10 +161,11 @@
             age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
         })
     };
-    told.into_iter().filter_map(refused_at).collect()
+    refused.into_iter().filter_map(refused_at).collect()
 }
 
-/// Sends a message to peers. A failure is logged and counted, but not returned, since the next message supersedes this one.
+/// Sends a message to peers. A failure is logged and counted but not retried; the peer gets the
+/// next message.
 pub(crate) async fn send_to(
     core: &Core,
     socket: &UdpSocket,
--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -53,13 +53,17 @@
 /// The shared state of one relay.
 pub(crate) struct Core {
     pub(crate) options: Options,
+    /// How requests and answers look on the wire.
     pub(crate) dialect: Box<dyn Dialect>,
+    /// Configuration and fleet, as the thread that follows the store publishes them.
     pub(crate) published: Arc<Published>,
+    /// Work placed on each endpoint by this gateway and its peers.
     pub(crate) board: RefCell<Board>,
+    /// Prompt reading placed since the last message to peers.
     pub(crate) unreported_reads: RefCell<Vec<UnreportedRead>>,
-    /// What this gateway has come to hold on endpoints since its last report to peers.
+    /// What this gateway has come to hold on endpoints since its last message to peers.
     pub(crate) unreported_held: RefCell<Vec<(EndpointKey, Held)>>,
-    /// Whether the next report to peers must be a whole one and must go out at once.
+    /// Whether the next message to peers must be a whole one and must be sent at once.
     pub(crate) whole_wanted: Cell<bool>,
     /// Wakes the broadcast task: work was placed, or the queue of waiting prompts has changed.
     pub(crate) board_changed: Notify,
@@ -67,21 +71,26 @@
     pub(crate) waiting: RefCell<HashMap<u64, Score>>,
     /// Short prompts queued at this gateway for a spare place on an engine, by serial number.
     pub(crate) waiting_for_spare: RefCell<BTreeSet<u64>>,
+    /// How many late short prompts recently found a spare place.
     pub(crate) spare: RefCell<Spare>,
     /// How many long prompts of each length arrived at this gateway and how many of them were sent.
     pub(crate) lengths: RefCell<Lengths>,
+    /// Failing endpoints that are skipped for a while.
     pub(crate) outliers: Outliers,
     /// Endpoints that refuse to read parts of prompts that other endpoints answer.
     pub(crate) helpers: RefCell<Helpers>,
     /// Rate limits, pauses and shutdown notices that endpoints ask their senders to observe.
     pub(crate) backpressure: RefCell<Table>,
+    /// Budget of retries.
     pub(crate) budget: RefCell<Budget>,
     /// Probes in flight that check whether an endpoint's process has ended.
     pub(crate) looks: RefCell<Looks>,
+    /// What is known of requests that crash endpoints.
     pub(crate) crashes: Crashes,
     pub(crate) metrics: Metrics,
     pub(crate) traffic: Traffic,
     pub(crate) drain: Drain,
+    /// Number of gateways, for dividing fleet-wide budgets.
     pub(crate) gateway_count: RefCell<GatewayCount>,
     pub(crate) random: RefCell<ChaCha8Rng>,
     /// Serial number given out last, see [`Core::next_serial`].
@@ -149,7 +158,7 @@
     }
 
     /// Records prompt reading that this gateway has placed on an endpoint, and queues it for the
-    /// next report to peers.
+    /// next message to peers.
     pub(crate) fn place_read(&self, endpoint: EndpointKey, read_ms: f64, reads: Reads) {
         let now_ms = self.now_ms();
         self.board.borrow_mut().read(endpoint, now_ms, read_ms);
@@ -166,7 +175,7 @@
         self.board.borrow().peers() < FEW_PEERS
     }
 
-    /// Requests a whole report to peers, since endpoints that peers may be waiting for are free
+    /// Requests a whole message to peers, since endpoints that peers may be waiting for are free
     /// again.
     pub(crate) fn announce_freed(&self) {
         self.whole_wanted.set(true);
--- a/crates/mgs-relay/src/crash_gossip.rs
+++ b/crates/mgs-relay/src/crash_gossip.rs
@@ -32,7 +32,7 @@
 
 /// Sends reports until the process ends.
 pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, peer_table: Rc<RefCell<PeerTable>>) {
-    let mut repeated: Vec<WorkKey> = Vec::new();
+    let mut to_repeat: Vec<WorkKey> = Vec::new();
     let mut random_peer_at = Instant::now() + RANDOM_PEER_INTERVAL;
     let gossip = CrashGossip {
         core,
@@ -47,10 +47,10 @@
         let changed = gossip.core.crashes.take_fresh();
         gossip.send_to_all(&changed).await;
         if !is_urgent {
-            gossip.send_to_all(&repeated).await;
-            repeated.clear();
+            gossip.send_to_all(&to_repeat).await;
+            to_repeat.clear();
         }
-        repeated.extend(changed);
+        to_repeat.extend(changed);
         if Instant::now() >= random_peer_at {
             random_peer_at = Instant::now() + RANDOM_PEER_INTERVAL;
             gossip.send_to_random_peer().await;
@@ -97,8 +97,8 @@
     }
 
     async fn send(&self, works: &[WorkKey], peers: &[SocketAddr]) {
-        let told = self.core.crashes.told(works, self.core.now_ms());
-        for message in split_into_messages(self.core.incarnation, told) {
+        let reports = self.core.crashes.told(works, self.core.now_ms());
+        for message in split_into_messages(self.core.incarnation, reports) {
             let kind = TrafficKind::CrashMessages;
             send_to(&self.core, &self.socket, &message, peers, kind).await;
         }
@@ -110,17 +110,17 @@
     let mut messages = Vec::new();
     let mut rest = works;
     while !rest.is_empty() {
-        let mut taken = rest.len();
+        let mut count = rest.len();
         loop {
-            let works = rest[..taken].to_vec();
+            let works = rest[..count].to_vec();
             let message = encode(&Message::Crashes { from, works });
-            if message.len() <= MESSAGE_BYTES_MAX || taken == 1 {
+            if message.len() <= MESSAGE_BYTES_MAX || count == 1 {
                 messages.push(message);
                 break;
             }
-            taken = taken.div_ceil(2);
+            count = count.div_ceil(2);
         }
-        rest.drain(..taken);
+        rest.drain(..count);
     }
     messages
 }
--- a/crates/mgs-relay/src/follow.rs
+++ b/crates/mgs-relay/src/follow.rs
@@ -215,8 +215,8 @@
 
 /// Whether a batch reports endpoints that were removed.
 fn has_removed_endpoints(batch: &Batch) -> bool {
-    let is_gone = |update: &Update| matches!(update, Update::EndpointGone { .. });
-    batch.updates.iter().any(is_gone)
+    let is_removal = |update: &Update| matches!(update, Update::EndpointRemoved { .. });
+    batch.updates.iter().any(is_removal)
 }
 
 /// Follows one topic.
@@ -230,12 +230,12 @@
     era: Option<u64>,
     /// When the topic must be read in full again, in milliseconds. By then, the entries of a
     /// restored older copy have expired unless their endpoints are alive.
-    read_all_at_ms: Option<u64>,
+    full_read_at_ms: Option<u64>,
     /// Whether the store has lost this gateway's entry, so that it must be written again.
     needs_registration: bool,
     /// Time since which the topic can't be read, in milliseconds.
     store_lost_since_ms: Option<u64>,
-    /// Whether the last long poll was given up because a peer had newer content.
+    /// Whether the last long poll was given up, so that the next call must not wait.
     wait_was_aborted: bool,
     endpoints: Rc<RefCell<Endpoints>>,
     gateways: HashMap<String, SocketAddr>,
@@ -258,7 +258,7 @@
             published,
             revision: None,
             era: None,
-            read_all_at_ms: None,
+            full_read_at_ms: None,
             needs_registration: false,
             store_lost_since_ms: None,
             wait_was_aborted: false,
@@ -296,11 +296,12 @@
     }
 
     /// Reads the topic in full, or waits for changes. Returns `None` if the wait was given up
-    /// because a peer has newer content.
+    /// because a peer has newer content, or because nothing has confirmed the known content
+    /// recently.
     async fn read(&mut self, source: &mut dyn Source) -> Option<Result<Batch, SourceError>> {
         let now_ms = self.published.now_ms();
-        if self.read_all_at_ms.is_some_and(|at_ms| at_ms <= now_ms) {
-            self.read_all_at_ms = None;
+        if self.full_read_at_ms.is_some_and(|at_ms| at_ms <= now_ms) {
+            self.full_read_at_ms = None;
             self.revision = None;
         }
         let Some(after) = self.revision else {
@@ -314,17 +315,17 @@
             (_, false) => Reason::Wait,
             (_, true) => Reason::LongWait,
         });
-        let reading = source.read_changes(self.topic, after, wait_ms);
+        let call = source.read_changes(self.topic, after, wait_ms);
         match self.freshness().filter(|_| is_long) {
-            None => Some(reading.await),
+            None => Some(call.await),
             Some(freshness) => tokio::select! {
-                read = reading => Some(read),
+                read = call => Some(read),
                 () = self.until_outdated(freshness) => None,
             },
         }
     }
 
-    /// Completes when a pending long poll shouldn't be relied on any more.
+    /// Completes when a pending long poll should be given up.
     async fn until_outdated(&self, freshness: &Freshness) {
         loop {
             freshness.notified().await;
@@ -364,7 +365,7 @@
         let now_ms = self.published.now_ms();
         match self.topic {
             Topic::Endpoints => {
-                let due_ms = self.read_all_at_ms.unwrap_or(u64::MAX);
+                let due_ms = self.full_read_at_ms.unwrap_or(u64::MAX);
                 let longest_ms = longest_ms.min(due_ms.saturating_sub(now_ms));
                 self.endpoints.borrow().bounded_wait_ms(longest_ms, now_ms)
             }
@@ -376,7 +377,7 @@
     fn note_aborted_wait(&mut self) -> Pause {
         let age_ms = self
             .freshness()
-            .and_then(|b| b.age_ms(self.published.now_ms()));
+            .and_then(|freshness| freshness.age_ms(self.published.now_ms()));
         log::info!(
             topic = self.topic.name(), age_ms = age_ms.unwrap_or(u64::MAX);
             "a call to the store that waits isn't trusted"
--- a/crates/mgs-relay/src/follow/apply.rs
+++ b/crates/mgs-relay/src/follow/apply.rs
@@ -23,7 +23,7 @@
         for update in &batch.updates {
             self.track_bad_row(update);
         }
-        let is_whole = self.revision.is_none();
+        let is_full_read = self.revision.is_none();
         self.revision = Some(batch.revision);
         let has_rolled_back = self.update_era(batch.revision);
         match self.topic {
@@ -32,12 +32,12 @@
                 if has_rolled_back {
                     let now_ms = self.published.now_ms();
                     self.endpoints.borrow_mut().note_rollback(now_ms);
-                    self.read_all_at_ms = Some(now_ms + ENTRY_EXPIRY_MS);
+                    self.full_read_at_ms = Some(now_ms + ENTRY_EXPIRY_MS);
                 }
-                self.apply_endpoints(batch.updates, is_whole, start_ms);
+                self.apply_endpoints(batch.updates, is_full_read, start_ms);
             }
             Topic::Gateways if has_rolled_back => self.apply_rolled_back_gateways(batch.updates),
-            Topic::Gateways => self.apply_gateways(batch.updates, is_whole),
+            Topic::Gateways => self.apply_gateways(batch.updates, is_full_read),
         }
     }
 
@@ -87,7 +87,7 @@
                 };
                 self.bad_rows.report(self.topic, &row);
             }
-            Update::Gateway { name, .. } | Update::GatewayGone { name } => {
+            Update::Gateway { name, .. } | Update::GatewayRemoved { name } => {
                 self.bad_rows.clear(self.topic, name);
             }
             Update::Held(Told { key, .. }) | Update::LetGo(key) => {
@@ -95,7 +95,7 @@
             }
             Update::Configuration(_) => self.bad_rows.clear_all(self.topic),
             // Handled in `apply_endpoints`, which knows whether the entry is accepted.
-            Update::Endpoint(_) | Update::EndpointGone { .. } => {}
+            Update::Endpoint(_) | Update::EndpointRemoved { .. } => {}
         }
     }
 
@@ -147,22 +147,23 @@
         }
     }
 
-    fn apply_endpoints(&mut self, updates: Vec<Update>, is_whole: bool, start_ms: u64) {
+    fn apply_endpoints(&mut self, updates: Vec<Update>, is_full_read: bool, start_ms: u64) {
         let now_ms = self.published.now_ms();
         let mut endpoints = self.endpoints.borrow_mut();
-        let origin = match is_whole {
+        let origin = match is_full_read {
             true => Origin::Snapshot,
             false => Origin::Change,
         };
-        let listed = is_whole.then(|| Endpoints::listed_ids(&updates));
+        let listed = is_full_read.then(|| Endpoints::listed_ids(&updates));
         let configuration = self.published.configuration();
         for update in updates {
             match update {
                 Update::Endpoint(facts) => {
                     let id = facts.incarnation.id.clone();
                     // Without a configuration, no service is known to be missing.
-                    let names = |c: &Arc<Configuration>| c.services.contains_key(&facts.service);
-                    let is_service_known = configuration.as_ref().is_none_or(names);
+                    let has_service =
+                        |c: &Arc<Configuration>| c.services.contains_key(&facts.service);
+                    let is_service_known = configuration.as_ref().is_none_or(has_service);
                     match endpoints.apply(facts, is_service_known, origin, now_ms) {
                         Ok(()) => self.bad_rows.clear(self.topic, &id),
                         Err(fault) => self
@@ -170,7 +171,7 @@
                             .report(self.topic, &BadRow::without_detail(&id, fault)),
                     }
                 }
-                Update::EndpointGone { id } => {
+                Update::EndpointRemoved { id } => {
                     self.bad_rows.clear(self.topic, &id);
                     endpoints.mark_missing(&id, now_ms);
                 }
@@ -186,25 +187,25 @@
         endpoints.drop_missing(now_ms);
         let freshness = self.published.endpoint_freshness();
         freshness.set_content_id(endpoints.content_hash());
-        if endpoints.take_changed() || is_whole {
+        if endpoints.take_changed() || is_full_read {
             self.published.put_fleet(endpoints.fleet());
         }
         freshness.confirm(start_ms);
     }
 
-    fn apply_gateways(&mut self, updates: Vec<Update>, is_whole: bool) {
-        if is_whole {
+    fn apply_gateways(&mut self, updates: Vec<Update>, is_full_read: bool) {
+        if is_full_read {
             self.gateways.clear();
         }
         let mut news = Vec::new();
         for update in updates {
             match update {
-                Update::Held(told) => news.push(News::Held(told)),
+                Update::Held(report) => news.push(News::Held(report)),
                 Update::LetGo(work) => news.push(News::LetGo(work)),
                 Update::Gateway { name, address } => {
                     self.gateways.insert(name, address);
                 }
-                Update::GatewayGone { name } | Update::Unreadable { key: name, .. } => {
+                Update::GatewayRemoved { name } | Update::Unreadable { key: name, .. } => {
                     self.gateways.remove(&name);
                 }
                 _ => {}
--- a/crates/mgs-relay/src/freshness.rs
+++ b/crates/mgs-relay/src/freshness.rs
@@ -18,7 +18,7 @@
 /// Stands for "never" in timestamps.
 const NEVER_MS: u64 = 0;
 
-/// Age from which a confirmation counts as stale, in milliseconds. Readers confirm every 1.5 s the
+/// Age above which a confirmation counts as stale, in milliseconds. Readers confirm every 1.5 s the
 /// time at which their call began, so their content is at most 3 s old, and their report takes a
 /// few hundred milliseconds to arrive.
 pub const STALE_MS: u64 = 3_400;
@@ -86,8 +86,8 @@
     /// one recorded is ignored.
     ///
     /// ```
-    /// use mgs_relay::freshness::Freshness;
     /// use mgs_relay::freshness::ContentKind;
+    /// use mgs_relay::freshness::Freshness;
     ///
     /// let freshness = Freshness::new(ContentKind::Versions);
     /// assert_eq!(freshness.age_ms(500), None);
@@ -138,7 +138,7 @@
             .latest_report
             .load()
             .as_ref()
-            .map_or(0, |w| w.confirmed_ms);
+            .map_or(0, |report| report.confirmed_ms);
         if report.confirmed_ms < newest_ms {
             return;
         }
@@ -154,13 +154,14 @@
     /// The latest report if it is about newer content than the one known here.
     ///
     /// ```
-    /// use mgs_relay::freshness::Freshness;
     /// use mgs_relay::freshness::ContentKind;
+    /// use mgs_relay::freshness::Freshness;
     /// use mgs_relay::freshness::PeerReport;
     ///
     /// let freshness = Freshness::new(ContentKind::Versions);
     /// freshness.set_content_id(7);
-    /// let report = |content_id| PeerReport { content_id, confirmed_ms: 100, from: ([127, 0, 0, 1], 1).into() };
+    /// let from = ([127, 0, 0, 1], 1).into();
+    /// let report = |content_id| PeerReport { content_id, confirmed_ms: 100, from };
     /// freshness.record_report(report(7));
     /// assert_eq!(freshness.newer_report(), None);
     /// freshness.record_report(report(8));
--- a/crates/mgs-relay/src/gather.rs
+++ b/crates/mgs-relay/src/gather.rs
@@ -35,8 +35,8 @@
         Update::Endpoint(facts) => !facts.is_leaving,
         Update::Gateway { .. } => true,
         Update::Configuration(_)
-        | Update::EndpointGone { .. }
-        | Update::GatewayGone { .. }
+        | Update::EndpointRemoved { .. }
+        | Update::GatewayRemoved { .. }
         | Update::Held(_)
         | Update::LetGo(_)
         | Update::Unreadable { .. } => false,
--- a/crates/mgs-relay/src/membership.rs
+++ b/crates/mgs-relay/src/membership.rs
@@ -27,7 +27,7 @@
 
 /// How long a removed incarnation is remembered, in milliseconds: a copy of the store that is some
 /// seconds old, restored after an outage of any usual length, may list it again.
-const GONE_KEPT_MS: u64 = 120_000;
+const REMOVED_KEPT_MS: u64 = 120_000;
 
 /// Time within which the entry of an endpoint that has ended expires, in milliseconds. An endpoint
 /// that a restored copy of the store lists for longer is alive.
@@ -65,8 +65,8 @@
     entries: HashMap<String, Entry>,
     /// Latest start of each identifier that has ever reported one, in Unix milliseconds.
     starts_ms: HashMap<String, u64>,
-    /// Removed incarnations with the time of removal, in milliseconds.
-    gone_ms: HashMap<Incarnation, u64>,
+    /// Time of removal of each remembered incarnation, in milliseconds.
+    removed_ms: HashMap<Incarnation, u64>,
     /// When the store was last restored from an older copy, in milliseconds. What it lists since
     /// then may be older than what was learnt before.
     rolled_back_ms: Option<u64>,
@@ -83,7 +83,7 @@
         Self {
             entries: HashMap::new(),
             starts_ms: HashMap::new(),
-            gone_ms: HashMap::new(),
+            removed_ms: HashMap::new(),
             rolled_back_ms: None,
             next_key: 0,
             expiry_grace_ms,
@@ -130,11 +130,11 @@
     ) -> Result<(), RowFault> {
         let rolled_back_ms = self.rolled_back_ms.filter(|_| origin == Origin::Snapshot);
         let Some(rolled_back_ms) = rolled_back_ms else {
-            self.gone_ms.remove(&facts.incarnation);
+            self.removed_ms.remove(&facts.incarnation);
             return self.upsert(facts, is_service_known);
         };
-        let may_have_expired = now_ms < rolled_back_ms + ENTRY_EXPIRY_MS;
-        if may_have_expired && self.gone_ms.contains_key(&facts.incarnation) {
+        let may_still_expire = now_ms < rolled_back_ms + ENTRY_EXPIRY_MS;
+        if may_still_expire && self.removed_ms.contains_key(&facts.incarnation) {
             return Err(RowFault::Gone);
         }
         let known = self.entries.get(&facts.incarnation.id);
@@ -148,12 +148,12 @@
     }
 
     /// Remembers removed incarnations.
-    fn remember_gone(&mut self, gone: HashSet<Incarnation>, now_ms: u64) {
-        self.gone_ms
-            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < GONE_KEPT_MS);
-        if self.gone_ms.len() < REMEMBERED_MAX {
-            self.gone_ms
-                .extend(gone.into_iter().map(|one| (one, now_ms)));
+    fn remember_removed(&mut self, removed: HashSet<Incarnation>, now_ms: u64) {
+        self.removed_ms
+            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < REMOVED_KEPT_MS);
+        if self.removed_ms.len() < REMEMBERED_MAX {
+            self.removed_ms
+                .extend(removed.into_iter().map(|incarnation| (incarnation, now_ms)));
         }
     }
 
@@ -196,8 +196,8 @@
             let is_start_later = own.born_ms.is_some() && other.supersedes(own);
             entry.facts.address == facts.address && entry.is_listed() && is_start_later
         };
-        let is_ended = is_service_known && self.entries.values().any(|entry| is_later(&entry));
-        is_ended.then_some(RowFault::OlderStart)
+        let is_superseded = is_service_known && self.entries.values().any(|entry| is_later(&entry));
+        is_superseded.then_some(RowFault::OlderStart)
     }
 
     fn remember_start(&mut self, incarnation: &Incarnation) {
@@ -213,17 +213,17 @@
 
     /// Removes endpoints that a later incarnation at the same address replaces.
     fn remove_superseded(&mut self, address: SocketAddr, later: &Incarnation) {
-        let is_ended = |entry: &Entry| {
+        let is_superseded = |entry: &Entry| {
             let earlier = &entry.facts.incarnation;
             entry.facts.address == address && earlier.id != later.id && later.supersedes(earlier)
         };
         let before = self.entries.len();
         self.entries.retain(|id, entry| {
-            let is_ended = is_ended(entry);
-            if is_ended {
+            let is_superseded = is_superseded(entry);
+            if is_superseded {
                 log::info!(endpoint = id, by = later.id; "endpoint ended by another at its address");
             }
-            !is_ended
+            !is_superseded
         });
         self.is_changed |= self.entries.len() != before;
     }
@@ -331,19 +331,19 @@
     pub fn drop_missing(&mut self, now_ms: u64) {
         let in_grace = self.is_in_grace(now_ms);
         let before = self.entries.len();
-        let mut gone = HashSet::new();
+        let mut removed = HashSet::new();
         self.entries.retain(|id, entry| {
             let is_missing = entry.missing_since_ms.is_some();
             let may_have_expired = !entry.facts.is_leaving && !entry.is_unreadable;
             let is_kept = !is_missing || (in_grace && may_have_expired);
             if !is_kept {
                 log::info!(endpoint = id; "endpoint dropped");
-                gone.insert(entry.facts.incarnation.clone());
+                removed.insert(entry.facts.incarnation.clone());
             }
             is_kept
         });
         self.is_changed |= self.entries.len() != before;
-        self.remember_gone(gone, now_ms);
+        self.remember_removed(removed, now_ms);
     }
 
     /// The time to wait for changes, at most `longest_ms`: entries that expired in an outage must
--- a/crates/mgs-relay/src/metrics.rs
+++ b/crates/mgs-relay/src/metrics.rs
@@ -18,7 +18,7 @@
 ];
 
 /// Buckets of request size for outcomes: exclusive upper bounds in read tokens, with their labels.
-/// Each bound is about twice the one before, so that the longest requests of a kind are separate
+/// Each bound is twice the one before, so that the longest requests of a kind are separate
 /// from the others.
 const SIZE_BUCKETS: [(u64, &str); 10] = [
     (4_000, "under_4k"),
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -198,7 +198,7 @@
     }
     core.hear_peer_advice(beacon);
     let fleet = core.published.fleet();
-    let by_hash = core.published.endpoint_hashes();
+    let by_hash = core.published.endpoint_keys_by_hash();
     let key_of = |hash: u64| by_hash.get(&hash).copied();
     let held: Vec<(EndpointKey, Held)> = beacon
         .held
@@ -275,7 +275,7 @@
     loop {
         sleep(INTERVAL).await;
         let now_ms = core.now_ms();
-        let (gone, peers) = {
+        let (silent, peers) = {
             let mut board = core.board.borrow_mut();
             (board.expire(now_ms), board.peers())
         };
@@ -283,7 +283,7 @@
         let staying = peer_table.borrow().staying(&core.board.borrow());
         core.share_limits(staying);
         core.helpers.borrow_mut().expire(core.now_whole_ms());
-        for peer in gone {
+        for peer in silent {
             let mut peer_table = peer_table.borrow_mut();
             peer_table.last_sequences.remove(&peer);
             peer_table.leaving.remove(&peer);
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -260,8 +260,8 @@
     Err(last.expect("BUG: there was at least one try"))
 }
 
-fn local_address(found: io::Result<SocketAddr>, requested: SocketAddr) -> SocketAddr {
-    found.unwrap_or(requested)
+fn local_address(local: io::Result<SocketAddr>, requested: SocketAddr) -> SocketAddr {
+    local.unwrap_or(requested)
 }
 
 fn listen(address: SocketAddr, purpose: &'static str) -> Result<tokio::net::TcpListener, Error> {
--- a/crates/mgs-relay/src/source.rs
+++ b/crates/mgs-relay/src/source.rs
@@ -167,7 +167,7 @@
     /// An endpoint was added, or its entry changed.
     Endpoint(EndpointFacts),
     /// An endpoint's entry was removed.
-    EndpointGone {
+    EndpointRemoved {
         /// Its identifier.
         id: String,
     },
@@ -191,7 +191,7 @@
         address: SocketAddr,
     },
     /// A gateway's entry was removed.
-    GatewayGone {
+    GatewayRemoved {
         /// Its name.
         name: String,
     },
--- a/crates/mgs-relay/src/view.rs
+++ b/crates/mgs-relay/src/view.rs
@@ -231,7 +231,7 @@
 pub struct Published {
     configuration: ArcSwapOption<Configuration>,
     fleet: ArcSwap<Fleet>,
-    endpoint_hashes: ArcSwap<HashMap<u64, EndpointKey>>,
+    endpoint_keys_by_hash: ArcSwap<HashMap<u64, EndpointKey>>,
     peers: ArcSwap<Vec<SocketAddr>>,
     /// Number of gateways that the store lists, including this one; 0 before the list was read.
     listed_gateways: AtomicUsize,
@@ -250,7 +250,7 @@
         Self {
             configuration: ArcSwapOption::empty(),
             fleet: ArcSwap::from_pointee(Fleet::default()),
-            endpoint_hashes: ArcSwap::default(),
+            endpoint_keys_by_hash: ArcSwap::default(),
             peers: ArcSwap::default(),
             listed_gateways: AtomicUsize::new(0),
             live_settings: ArcSwap::default(),
@@ -301,8 +301,8 @@
 
     /// Endpoint keys by the hash of their incarnations, by which gateways name endpoints to each
     /// other.
-    pub fn endpoint_hashes(&self) -> Arc<HashMap<u64, EndpointKey>> {
-        self.endpoint_hashes.load_full()
+    pub fn endpoint_keys_by_hash(&self) -> Arc<HashMap<u64, EndpointKey>> {
+        self.endpoint_keys_by_hash.load_full()
     }
 
     /// The settings that may change at run time.
@@ -341,7 +341,7 @@
     pub fn put_fleet(&self, fleet: Fleet) {
         let hash = |endpoint: &Arc<Endpoint>| endpoint.facts.incarnation.hash_64();
         let hashes = fleet.by_key.values().map(|e| (hash(e), e.key)).collect();
-        self.endpoint_hashes.store(Arc::new(hashes));
+        self.endpoint_keys_by_hash.store(Arc::new(hashes));
         self.fleet.store(Arc::new(fleet));
         self.completion.notify_waiters();
     }
--- a/crates/mgs-relay/tests/freshness.rs
+++ b/crates/mgs-relay/tests/freshness.rs
@@ -37,11 +37,11 @@
     #[case] kind: ContentKind,
     #[case] content_id: u64,
     #[case] confirmed_ms: u64,
-    #[case] newer_report: bool,
+    #[case] is_newer: bool,
 ) {
     let freshness = freshness_of(kind, 7, 500);
     freshness.record_report(report(content_id, confirmed_ms));
-    assert_eq!(freshness.newer_report().is_some(), newer_report);
+    assert_eq!(freshness.newer_report().is_some(), is_newer);
 }
 
 #[test]
--- a/crates/mgs-relay/tests/incarnations.rs
+++ b/crates/mgs-relay/tests/incarnations.rs
@@ -208,7 +208,8 @@
         1 => id().prop_map(|id| Event::Unreadable { id }),
         1 => id().prop_map(|id| Event::Gone { id }),
         1 => proptest::prelude::Just(Event::OutageEnded),
-        1 => prop::collection::vec((id(), 1u64..6), 0..4).prop_map(|entries| Event::Peer { entries }),
+        1 => prop::collection::vec((id(), 1u64..6), 0..4)
+            .prop_map(|entries| Event::Peer { entries }),
     ]
 }
 
@@ -296,7 +297,12 @@
                 let id: u8 = incarnation.id[2..].parse().expect("a number");
                 let newest_ms = expected.newest_ms.get(&id).copied();
                 prop_assert_eq!(incarnation.born_ms, newest_ms, "{:?}", event);
-                prop_assert!(expected.is_usable.get(&id) == Some(&true), "{:?} after {:?}", incarnation, event);
+                prop_assert!(
+                    expected.is_usable.get(&id) == Some(&true),
+                    "{:?} after {:?}",
+                    incarnation,
+                    event
+                );
                 let first = incarnations.entry(endpoint.key).or_insert_with(|| incarnation.clone());
                 prop_assert_eq!(&*first, incarnation, "one key for two incarnations");
             }
@@ -306,7 +312,10 @@
     /// Two gateways that have read the same in the end agree, whatever each read before.
     #[test]
     fn gateways_that_read_the_same_list_agree(events in prop::collection::vec(event(), 1..40)) {
-        let (mut one, mut other) = (Endpoints::new(EXPIRY_GRACE_MS), Endpoints::new(EXPIRY_GRACE_MS));
+        let (mut one, mut other) = (
+            Endpoints::new(EXPIRY_GRACE_MS),
+            Endpoints::new(EXPIRY_GRACE_MS),
+        );
         for (step, event) in events.iter().enumerate() {
             apply(&mut one, event, step as u64 * 700);
         }
