--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -1,7 +1,7 @@
-//! What endpoints ask in their answers, and what is sent to them for it.
+//! Backpressure: what endpoints ask for in their responses, and which of them may be sent requests.
 //!
-//! What may be sent where is asked twice: when endpoints are chosen, and right before a request is sent, since it may
-//! have waited between.
+//! This is checked twice, when endpoints are chosen and right before a request is sent, since the
+//! request may have waited in between.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use mgs_placing::share::LimitWord;
 
 use crate::core::Core;
-use crate::dialect::Ask;
+use crate::dialect::ClientRequest;
 use crate::drain::Phase;
 use crate::fault::Fault;
 use crate::fault::Refusal;
@@ -30,24 +30,25 @@
 use crate::wait::RETRY_AFTER_MAX_MS;
 use crate::wait::RETRY_AFTER_MIN_MS;
 
-/// Endpoints that may not be sent a request now.
+/// Endpoints that may not be sent a request now, because they leave, asked for a rest or reached a
+/// limit.
 #[derive(Debug, Default)]
 pub(crate) struct ShutEndpoints(HashMap<EndpointKey, Shut>);
 
 impl ShutEndpoints {
-    /// Whether it may get no request of its own.
+    /// Whether the endpoint may get no request of its own.
     pub(crate) fn contains(&self, endpoint: &Endpoint) -> bool {
         self.0.contains_key(&endpoint.key)
     }
 
-    /// Whether nothing at all may be asked of it, not even to help.
+    /// Whether the endpoint may get nothing at all, not even a request to help.
     pub(crate) fn bars_help(&self, endpoint: &Endpoint) -> bool {
         let shut = self.0.get(&endpoint.key);
         shut.is_some_and(|shut| shut.reason.bars_help())
     }
 
-    /// The refusal of a request for these endpoints, all of which are shut: its client may come back when the first opens, or
-    /// sooner, since another gateway may have been asked for no rest.
+    /// Builds the refusal of a request whose endpoints are all shut. The client may retry when the
+    /// first of them opens, or sooner, since the rest may have been asked of this gateway only.
     pub(crate) fn refusal<'a>(
         &self,
         endpoints: impl IntoIterator<Item = &'a Arc<Endpoint>>,
@@ -75,26 +76,26 @@
 }
 
 impl Core {
-    /// Takes what an answer to a request that was sent at `sent_ms` says of the endpoint that gave it.
+    /// Takes the advice in a response to a request that was sent at `sent_ms`.
     pub(crate) fn hear_advice(
         &self,
         endpoint: &Endpoint,
-        ask: &Ask,
+        client_request: &ClientRequest,
         head: &response::Parts,
         sent_ms: f64,
     ) {
-        let advice = self.dialect.advice(ask, head);
+        let advice = self.dialect.advice(client_request, head);
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
         let news = table.hear(life(endpoint), advice, sent_ms, now_ms);
         drop(table);
         for news in news {
             self.board_changed.notify_one();
-            self.note_news(endpoint, ask, news);
+            self.record_advice(endpoint, client_request, news);
         }
     }
 
-    fn note_news(&self, endpoint: &Endpoint, ask: &Ask, news: News) {
+    fn record_advice(&self, endpoint: &Endpoint, client_request: &ClientRequest, news: News) {
         self.metrics.advice.inc(news.name());
         let (limit_per_s, rest_ms) = match news {
             News::Limited(per_s) => (per_s, 0.0),
@@ -103,7 +104,7 @@
         };
         log::info!(
             endpoint = endpoint.facts.incarnation.id,
-            request_id = ask.request_id,
+            request_id = client_request.request_id,
             news = news.name(),
             limit_per_s = limit_per_s,
             rest_ms = rest_ms;
@@ -122,7 +123,7 @@
         ShutEndpoints(shut.into_iter().filter_map(keyed).collect())
     }
 
-    /// Permits a request to an endpoint right before it is sent, and counts it.
+    /// Checks right before a dispatch whether the endpoint may get it, and counts it.
     pub(crate) fn permit_dispatch(&self, endpoint: &Endpoint) -> Result<(), Shut> {
         let mut table = self.backpressure.borrow_mut();
         if table.is_empty() {
@@ -139,13 +140,13 @@
         Ok(())
     }
 
-    /// What the clock that gateways share shows, in milliseconds.
+    /// Time on the clock that the gateways share, in milliseconds.
     pub(crate) fn shared_clock_ms(&self) -> u64 {
         let now_ms = self.now_ms();
         self.backpressure.borrow().clock_ms(now_ms) as u64
     }
 
-    /// What peers are to be told of endpoints.
+    /// Advice about endpoints to send to peers.
     pub(crate) fn advice_to_tell(&self, is_whole: bool) -> Vec<AdviceAt> {
         let now_ms = self.now_ms();
         let told = self.backpressure.borrow_mut().take_told(is_whole, now_ms);
@@ -162,7 +163,7 @@
         told.into_iter().map(advice_at).collect()
     }
 
-    /// Takes what a peer says of endpoints.
+    /// Takes the advice about endpoints in a peer's message.
     pub(crate) fn hear_peer_advice(&self, beacon: &Beacon) {
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
@@ -177,7 +178,8 @@
         }
     }
 
-    /// Shares limits with these peers from now on, and forgets what isn't listed any more. A gateway that leaves takes no part.
+    /// Sets the peers that share the endpoints' limits and drops endpoints that are no longer
+    /// listed. A gateway that is leaving takes no share.
     pub(crate) fn share_limits(&self, staying: Vec<u64>) {
         let is_leaving = self.drain.phase() != Phase::Serving;
         let is_known = self.gateways_sharing().is_some() && !is_leaving;
@@ -193,19 +195,20 @@
     }
 }
 
-/// A peer's word of a limit, by this process's clock.
+/// Converts a peer's report of a limit to this process's clock.
 fn heard_word(word: &LimitWord, now_ms: f64) -> Word {
     let per_s = word.per_s_thousandths.map(|per_s| per_s as f64 / 1e3);
-    // A limit that was heard while its end was on the way goes before that.
+    // A limit that was learned while its withdrawal was in transit takes precedence over the
+    // withdrawal.
     let on_the_way_ms = if per_s.is_none() { ON_THE_WAY_MS } else { 0 };
     let at_ms = now_ms - f64::from(word.age_ms) - on_the_way_ms as f64;
     Word { per_s, at_ms }
 }
 
-/// A request was placed at an endpoint that has come to be shut meanwhile.
-pub(crate) fn note_shut(ask: &Ask, endpoint: &Endpoint, shut: Shut) {
+/// Logs that an endpoint was shut after a request had been placed there.
+pub(crate) fn log_shut(client_request: &ClientRequest, endpoint: &Endpoint, shut: Shut) {
     log::info!(
-        request_id = ask.request_id,
+        request_id = client_request.request_id,
         endpoint = endpoint.facts.incarnation.id,
         reason = shut.reason.name(),
         opens_in_ms = shut.opens_in_ms as u64;
--- a/crates/mgs-relay/src/attempt.rs
+++ b/crates/mgs-relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One dispatch to one endpoint, up to a whole answer or the first event of a stream.
+//! One dispatch to one endpoint, up to a complete response or the first event of a stream.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,96 +12,98 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-use crate::connect::describe;
-use crate::connect::lost;
-use crate::connect::CallError;
-use crate::connect::Connection;
-use crate::connect::Lost;
+use crate::connection::describe;
+use crate::connection::loss_cause;
+use crate::connection::CallError;
+use crate::connection::Connection;
+use crate::connection::LossCause;
 use crate::core::Core;
-use crate::dialect::Ask;
+use crate::dialect::ClientRequest;
 use crate::dialect::NotRun;
-use crate::dialect::Reply;
-use crate::event::Events;
+use crate::dialect::ResponseKind;
+use crate::event_splitter::EventSplitter;
 use crate::view::Endpoint;
 
-/// Longest answer of a plain service that is passed on, in bytes; the whole is read first, so that one
-/// that breaks off can be told from a whole one.
+/// Longest complete response that is forwarded, in bytes. It is read to its end first, so that a
+/// truncated one is told from a complete one.
 const ANSWER_BYTES_MAX: usize = 16 * 1024 * 1024;
 
-/// A stream whose first events have come.
-pub(crate) struct Stream {
-    /// Open as long as the stream is read.
+/// A stream that has delivered its first events.
+pub(crate) struct EventStream {
+    /// Kept open as long as the stream is read.
     pub(crate) _connection: Connection,
     pub(crate) body: Incoming,
-    pub(crate) events: Events,
+    pub(crate) events: EventSplitter,
     pub(crate) first: Bytes,
 }
 
-/// How a dispatch ended.
-pub(crate) enum Ended {
-    /// The endpoint can't have run it.
+/// Result of a dispatch.
+pub(crate) enum DispatchResult {
+    /// The endpoint can't have run the request.
     NotRun {
         why: &'static str,
-        /// Whether the endpoint at fault is gone or another one, rather than busy.
+        /// Whether the endpoint at fault is gone or replaced by another incarnation, rather than
+        /// busy.
         is_lost: bool,
-        /// Whether nobody listens at its address.
+        /// Whether the connection was refused: nothing listens at the address.
         is_refused: bool,
         at_fault: Option<std::net::SocketAddr>,
     },
-    /// The endpoint can't have run it, since another one refused to read a part of it.
-    Unhelped {
+    /// The endpoint can't have run the request, since a helper refused to read its part of the
+    /// prompt.
+    HelperRefused {
         helper: Arc<Endpoint>,
-        /// Whether memory was reserved there for it.
+        /// Whether the helper held a memory reservation for the request.
         is_reserved: bool,
     },
-    /// It may have run; there is no usable answer.
-    Unknown { lost: Lost, why: String },
-    /// A whole answer.
+    /// The request may have run; there is no usable response.
+    Unknown { lost: LossCause, why: String },
+    /// A complete response.
     Whole { head: response::Parts, body: Bytes },
-    /// A stream has begun.
+    /// A stream has started.
     Started {
         head: response::Parts,
-        stream: Stream,
+        stream: EventStream,
     },
 }
 
-/// Sends a request and waits for its answer; dropping it closes the connection.
+/// Sends a request and waits for its response. Dropping the future closes the connection.
 pub(crate) async fn send(
     core: &Rc<Core>,
     endpoint: &Endpoint,
     request: Request<Bytes>,
-    ask: &Ask,
+    client_request: &ClientRequest,
     is_streaming: bool,
-) -> Ended {
+) -> DispatchResult {
     let start = Instant::now();
     let within = Duration::from_millis(core.options.connect_timeout_ms);
     let mut connection = match Connection::open(endpoint.facts.address, within).await {
         Ok(connection) => connection,
-        Err(error) => return unsent(&error),
+        Err(error) => return not_sent(&error),
     };
     let took_ms = start.elapsed().as_secs_f64() * 1e3;
     core.metrics.connect_ms.observe(took_ms);
     let sent_ms = core.now_ms();
     let response = match connection.send(request).await {
         Ok(response) => response,
-        Err(error) if error.is_unsent() => return unsent(&error),
-        Err(error) => return unanswered(&error),
+        Err(error) if error.is_unsent() => return not_sent(&error),
+        Err(error) => return no_answer(&error),
     };
     let (head, body) = response.into_parts();
-    core.hear_advice(endpoint, ask, &head, sent_ms);
-    match core.dialect.reply(ask, &head) {
-        Reply::NotRun { reason, at_fault } => not_run(reason, at_fault),
-        Reply::Foreign(foreign) => unusable(&foreign.to_string()),
-        Reply::Answer if is_streaming && head.status.is_success() => {
-            first_events(connection, head, body).await
+    core.hear_advice(endpoint, client_request, &head, sent_ms);
+    match core.dialect.classify_response(client_request, &head) {
+        ResponseKind::NotRun { reason, at_fault } => not_run(reason, at_fault),
+        ResponseKind::Foreign(foreign) => unusable(&foreign.to_string()),
+        ResponseKind::Answer if is_streaming && head.status.is_success() => {
+            read_first_events(connection, head, body).await
         }
-        Reply::Answer => whole(connection, head, body).await,
+        ResponseKind::Answer => read_full_body(connection, head, body).await,
     }
 }
 
-fn unsent(error: &CallError) -> Ended {
+fn not_sent(error: &CallError) -> DispatchResult {
     log::debug!(error:% = error; "not sent");
-    Ended::NotRun {
+    DispatchResult::NotRun {
         why: "not_connected",
         is_lost: true,
         is_refused: matches!(error, CallError::Refused(_)),
@@ -109,14 +111,14 @@
     }
 }
 
-fn not_run(reason: NotRun, at_fault: Option<std::net::SocketAddr>) -> Ended {
+fn not_run(reason: NotRun, at_fault: Option<std::net::SocketAddr>) -> DispatchResult {
     let why = match reason {
         NotRun::Full => "endpoint_full",
         NotRun::OtherIncarnation => "other_incarnation",
         NotRun::Other => "endpoint_refused",
     };
     let is_lost = reason == NotRun::OtherIncarnation;
-    Ended::NotRun {
+    DispatchResult::NotRun {
         why,
         is_lost,
         is_refused: false,
@@ -124,40 +126,48 @@
     }
 }
 
-async fn whole(connection: Connection, head: response::Parts, mut body: Incoming) -> Ended {
+async fn read_full_body(
+    connection: Connection,
+    head: response::Parts,
+    mut body: Incoming,
+) -> DispatchResult {
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = match frame {
             Ok(frame) => frame,
-            Err(error) => return broken(&error),
+            Err(error) => return connection_broken(&error),
         };
         if let Some(data) = frame.data_ref() {
             bytes.extend_from_slice(data);
         }
         if bytes.len() > ANSWER_BYTES_MAX {
-            return unusable("the answer is too long");
+            return unusable("the response body is too long");
         }
     }
     drop(connection);
-    Ended::Whole {
+    DispatchResult::Whole {
         head,
         body: bytes.freeze(),
     }
 }
 
-async fn first_events(connection: Connection, head: response::Parts, mut body: Incoming) -> Ended {
-    let mut events = Events::default();
+async fn read_first_events(
+    connection: Connection,
+    head: response::Parts,
+    mut body: Incoming,
+) -> DispatchResult {
+    let mut events = EventSplitter::default();
     loop {
         let frame = match body.frame().await {
             Some(Ok(frame)) => frame,
-            Some(Err(error)) => return broken(&error),
+            Some(Err(error)) => return connection_broken(&error),
             None if events.is_partial() => {
                 return unusable("the stream ended within its first event");
             }
             None => {
                 drop(connection);
                 let body = Bytes::new();
-                return Ended::Whole { head, body };
+                return DispatchResult::Whole { head, body };
             }
         };
         let Some(data) = frame.data_ref() else {
@@ -165,40 +175,40 @@
         };
         let first = events.take(data);
         if !first.is_empty() {
-            let stream = Stream {
+            let stream = EventStream {
                 _connection: connection,
                 body,
                 events,
                 first,
             };
-            return Ended::Started { head, stream };
+            return DispatchResult::Started { head, stream };
         }
         if events.is_excessive() {
-            return unusable("an event without an end");
+            return unusable("an event exceeds the size limit");
         }
     }
 }
 
-fn broken(error: &hyper::Error) -> Ended {
-    Ended::Unknown {
-        lost: lost(error),
+fn connection_broken(error: &hyper::Error) -> DispatchResult {
+    DispatchResult::Unknown {
+        lost: loss_cause(error),
         why: describe(error),
     }
 }
 
-fn unusable(why: &str) -> Ended {
-    Ended::Unknown {
-        lost: Lost::Unusable,
+fn unusable(why: &str) -> DispatchResult {
+    DispatchResult::Unknown {
+        lost: LossCause::Unusable,
         why: why.to_string(),
     }
 }
 
-fn unanswered(error: &CallError) -> Ended {
+fn no_answer(error: &CallError) -> DispatchResult {
     let lost = match error {
         CallError::NoAnswer { lost, .. } => *lost,
-        _ => Lost::PathLost,
+        _ => LossCause::PathLost,
     };
-    Ended::Unknown {
+    DispatchResult::Unknown {
         lost,
         why: error.to_string(),
     }
--- a/crates/mgs-relay/src/budget.rs
+++ b/crates/mgs-relay/src/budget.rs
@@ -1,23 +1,23 @@
-//! Second tries as a bounded share of the requests, agreed with the other gateways without talking.
+//! Retry budget: retries limited to a share of the requests, without coordination between gateways.
 //!
-//! All gateways together may send again a share of a service's requests plus a fixed number in each
-//! window. Each takes the share of its own requests, and an equal part of the fixed number by the gateways
-//! that it knows of ([`crate::headcount`]): neither one that is cut off nor one that has just started must
-//! take all of it.
+//! All gateways together may retry a share of a service's requests plus a fixed number in each
+//! window. Each gateway takes the share of its own requests and an equal part of the fixed number,
+//! by the count of gateways that it knows of ([`crate::headcount`]), so that neither an isolated
+//! gateway nor one that has just started takes all of it.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
-/// Settings of the budget.
+/// Settings of the retry budget.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Second tries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Second tries in each window besides, by all gateways together.
+    /// Additional retries in each window, by all gateways together.
     pub extra: f64,
     /// Length of the window, in milliseconds.
     pub window_ms: f64,
-    /// Share of the allowance that is used: windows slide, and counts lag at their edges.
+    /// Share of the allowance that is used; windows slide, and counts lag at their edges.
     pub used_share: f64,
 }
 
@@ -33,40 +33,40 @@
 }
 
 #[derive(Debug, Default)]
-struct Counts {
-    firsts_ms: VecDeque<f64>,
-    again_ms: VecDeque<f64>,
+struct RetryCounts {
+    requests_ms: VecDeque<f64>,
+    retries_ms: VecDeque<f64>,
 }
 
-/// Second tries of one gateway, by service.
+/// Retry budget of one gateway, by service.
 ///
 /// ```
-/// use mgs_relay::budget::Budget;
+/// use mgs_relay::budget::RetryBudget;
 /// use mgs_relay::budget::Options;
 ///
 /// let options = Options { extra: 4.0, used_share: 1.0, ..Options::default() };
-/// let mut budget = Budget::default();
+/// let mut budget = RetryBudget::default();
 /// // Two gateways share four.
-/// assert!(budget.again(&options, "model", 0.0, Some(2)));
-/// assert!(budget.again(&options, "model", 1.0, Some(2)));
-/// assert!(!budget.again(&options, "model", 2.0, Some(2)));
+/// assert!(budget.try_take_retry(&options, "model", 0.0, Some(2)));
+/// assert!(budget.try_take_retry(&options, "model", 1.0, Some(2)));
+/// assert!(!budget.try_take_retry(&options, "model", 2.0, Some(2)));
 /// ```
 #[derive(Debug, Default)]
-pub struct Budget {
-    by_service: HashMap<String, Counts>,
+pub struct RetryBudget {
+    by_service: HashMap<String, RetryCounts>,
 }
 
-impl Budget {
-    /// A request is sent for the first time.
-    pub fn first(&mut self, options: &Options, service: &str, now_ms: f64) {
+impl RetryBudget {
+    /// Records the first dispatch of a request.
+    pub fn record_request(&mut self, options: &Options, service: &str, now_ms: f64) {
         let counts = self.counts(service);
-        counts.firsts_ms.push_back(now_ms);
-        forget(&mut counts.firsts_ms, now_ms - options.window_ms);
+        counts.requests_ms.push_back(now_ms);
+        drop_before(&mut counts.requests_ms, now_ms - options.window_ms);
     }
 
-    /// Takes one second try, or tells that there is none. `gateways`: how many share the fixed number, if that is
-    /// known; if not, none of it is taken.
-    pub fn again(
+    /// Takes one retry from the budget; returns whether there was one. `gateways` is the number of
+    /// gateways that share the fixed number; if it is unknown, none of the fixed number is used.
+    pub fn try_take_retry(
         &mut self,
         options: &Options,
         service: &str,
@@ -74,22 +74,22 @@
         gateways: Option<usize>,
     ) -> bool {
         let counts = self.counts(service);
-        forget(&mut counts.firsts_ms, now_ms - options.window_ms);
-        forget(&mut counts.again_ms, now_ms - options.window_ms);
-        let own = options.ratio * counts.firsts_ms.len() as f64;
+        drop_before(&mut counts.requests_ms, now_ms - options.window_ms);
+        drop_before(&mut counts.retries_ms, now_ms - options.window_ms);
+        let own = options.ratio * counts.requests_ms.len() as f64;
         let shared = gateways.map_or(0.0, |gateways| options.extra / gateways.max(1) as f64);
-        let most = (own + shared) * options.used_share;
-        if counts.again_ms.len() as f64 + 1.0 > most {
+        let retries_max = (own + shared) * options.used_share;
+        if counts.retries_ms.len() as f64 + 1.0 > retries_max {
             return false;
         }
-        counts.again_ms.push_back(now_ms);
+        counts.retries_ms.push_back(now_ms);
         true
     }
 
-    fn counts(&mut self, service: &str) -> &mut Counts {
+    fn counts(&mut self, service: &str) -> &mut RetryCounts {
         if !self.by_service.contains_key(service) {
             self.by_service
-                .insert(service.to_string(), Counts::default());
+                .insert(service.to_string(), RetryCounts::default());
         }
         self.by_service
             .get_mut(service)
@@ -97,7 +97,7 @@
     }
 }
 
-fn forget(times_ms: &mut VecDeque<f64>, before_ms: f64) {
+fn drop_before(times_ms: &mut VecDeque<f64>, before_ms: f64) {
     while times_ms.front().is_some_and(|at_ms| *at_ms < before_ms) {
         times_ms.pop_front();
     }
--- a/crates/mgs-relay/src/client.rs
+++ b/crates/mgs-relay/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients' connections.
+//! Accepts and serves clients' connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,24 +16,24 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-use crate::connect::describe;
+use crate::connection::describe;
 use crate::core::Core;
 use crate::drain::Phase;
 use crate::serve::serve;
 
-/// Connections that the system may have ready for us: a burst after a stall of some hundred
-/// milliseconds.
+/// Connections that the system queues until they are accepted; covers a burst after a stall of some
+/// hundred milliseconds.
 const BACKLOG: i32 = 1_024;
 
-/// Least buffer for a head that hyper works with, in bytes.
+/// Smallest buffer for a request head that hyper accepts, in bytes.
 const HEAD_BUFFER_MIN_BYTES: usize = 8_192;
 
-/// Time that a connection outlives the idle limit told to clients, in milliseconds: a request that was
-/// sent at the last moment is still read.
+/// How long a connection outlives the idle limit announced to clients, in milliseconds, so that a
+/// request sent at the last moment is still read.
 const IDLE_GRACE_MS: u64 = 1_000;
 
-/// Wait after a failure to accept, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failure to accept, for example when descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Opens a listening socket.
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -49,32 +49,33 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Takes clients' connections until the process ends. While it leaves, connections still come in for as
-/// long as the balancer hasn't noticed.
+/// Accepts clients' connections until the process ends. While the host drains, connections still
+/// arrive until the balancer has noticed.
 pub(crate) async fn accept(core: Rc<Core>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(converse(core.clone(), stream));
+                tokio::task::spawn_local(serve_connection(core.clone(), stream));
             }
             Err(error) => {
-                log::warn!(error:% = error; "a connection can't be accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:% = error; "failed to accept a connection");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn converse(core: Rc<Core>, stream: TcpStream) {
+async fn serve_connection(core: Rc<Core>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(error:% = error; "a connection's options can't be set");
+        log::debug!(error:% = error; "failed to set socket options");
     }
     let limits = core
         .published
         .configuration()
         .map(|configuration| configuration.limits)
         .unwrap_or_default();
-    // hyper's one limit covers both the time between requests and that for a head.
+    // hyper's single timeout covers both the idle time between requests and the time to read a
+    // head.
     let idle_ms = limits.idle_timeout_ms.max(limits.head_timeout_ms) + IDLE_GRACE_MS;
     let serving = core.clone();
     let service = service_fn(move |request| serve(serving.clone(), request));
@@ -100,6 +101,6 @@
     };
     core.metrics.open_connections.dec();
     if let Err(error) = ended {
-        log::debug!(error = describe(&error); "a client's connection ended");
+        log::debug!(error = describe(&error); "client connection ended with an error");
     }
 }
--- a/crates/mgs-relay/src/answer.rs
+++ b/crates/mgs-relay/src/client_response.rs
@@ -1,4 +1,4 @@
-//! Answers to clients.
+//! Responses to clients.
 
 use std::io;
 use std::pin::Pin;
@@ -23,21 +23,21 @@
 use crate::dialect::Dialect;
 use crate::fault::Refusal;
 
-/// Body of an answer.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, io::Error>;
+/// Body of a response to a client.
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// An answer.
-pub(crate) type Answer = Response<AnswerBody>;
+/// A response to a client.
+pub(crate) type ClientResponse = Response<ResponseBody>;
 
-/// What a stream's task sends.
-pub(crate) type Piece = Result<Bytes, io::Error>;
+/// A chunk that a stream's task sends, or the error that ends the response.
+pub(crate) type BodyChunk = Result<Bytes, io::Error>;
 
-/// A body whose pieces come from another task; an error breaks the connection off.
-struct Pieces {
-    receiver: mpsc::Receiver<Piece>,
+/// A body whose chunks come from another task; an error aborts the connection.
+struct ChannelBody {
+    receiver: mpsc::Receiver<BodyChunk>,
 }
 
-impl Body for Pieces {
+impl Body for ChannelBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -45,8 +45,8 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let piece = self.receiver.poll_recv(context);
-        piece.map(|piece| piece.map(|piece| piece.map(Frame::data)))
+        let chunk = self.receiver.poll_recv(context);
+        chunk.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -55,18 +55,22 @@
 }
 
 /// A body of known length.
-pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
+pub(crate) fn whole(bytes: Bytes) -> ResponseBody {
     let body = Full::new(bytes).map_err(|never| match never {});
     body.boxed_unsync()
 }
 
-/// A body whose pieces come from another task.
-pub(crate) fn pieces(receiver: mpsc::Receiver<Piece>) -> AnswerBody {
-    Pieces { receiver }.boxed_unsync()
+/// A body whose chunks come from another task.
+pub(crate) fn streamed(receiver: mpsc::Receiver<BodyChunk>) -> ResponseBody {
+    ChannelBody { receiver }.boxed_unsync()
 }
 
-/// Our own answer to a request that no endpoint answered.
-pub(crate) fn refusal(dialect: &dyn Dialect, refusal: Refusal, request_id: Option<&str>) -> Answer {
+/// This host's own response to a request that no endpoint answered.
+pub(crate) fn refusal(
+    dialect: &dyn Dialect,
+    refusal: Refusal,
+    request_id: Option<&str>,
+) -> ClientResponse {
     let text = format!(
         "{{\"error\":\"{}\",\"message\":\"{}\"}}\n",
         refusal.fault.name(),
@@ -75,24 +79,24 @@
     let mut answer = Response::new(whole(Bytes::from(text)));
     *answer.status_mut() = refusal.fault.status();
     *answer.headers_mut() = dialect.own_fields(request_id);
-    put(&mut answer, CONTENT_TYPE, "application/json");
+    set_header(&mut answer, CONTENT_TYPE, "application/json");
     if let Some(after_ms) = refusal.retry_after_ms {
         let after_s = format!("{:.3}", after_ms as f64 / 1e3);
-        put(&mut answer, RETRY_AFTER, &after_s);
+        set_header(&mut answer, RETRY_AFTER, &after_s);
     }
     answer
 }
 
-/// Has the connection closed after this answer.
-pub(crate) fn close_after(answer: &mut Answer) {
-    put(answer, CONNECTION, "close");
+/// Makes the connection close after this response.
+pub(crate) fn close_after(answer: &mut ClientResponse) {
+    set_header(answer, CONNECTION, "close");
 }
 
-fn put(answer: &mut Answer, name: HeaderName, value: &str) {
+fn set_header(answer: &mut ClientResponse, name: HeaderName, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => {
             answer.headers_mut().insert(name, value);
         }
-        Err(error) => log::error!(field:% = name, error:% = error; "a field can't be sent"),
+        Err(error) => log::error!(field:% = name, error:% = error; "header value can't be sent"),
     }
 }
--- a/crates/mgs-relay/src/connect.rs
+++ b/crates/mgs-relay/src/connection.rs
@@ -1,7 +1,7 @@
 //! Connections to endpoints and to the store.
 //!
-//! To endpoints there is one for each call: an answer that comes twice or late then belongs to no other
-//! request, and closing the connection ends the work.
+//! Each call to an endpoint has a connection of its own: a duplicate or late response can't be
+//! taken for that of another request, and closing the connection cancels the work.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,52 +22,52 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// Bytes that aren't acknowledged for this long end a connection: a host behind a cut link, or one
-/// without power. Some round trips and two lost packets.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
+/// How long sent bytes may stay unacknowledged before the connection is closed, as with a host
+/// behind a broken link or without power. Covers some round trips and two lost packets.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time of silence before probes are sent, and between them.
-const PROBE: Duration = Duration::from_secs(1);
+/// Idle time before the first keepalive probe, and between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How an answer was lost.
+/// How a response was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lost {
-    /// The other end closed or reset the connection: its process may have ended.
+pub enum LossCause {
+    /// The peer closed or reset the connection; its process may have ended.
     BrokenOff,
-    /// Nothing comes from the other end any more.
+    /// The network path failed: nothing arrives from the peer any more.
     PathLost,
-    /// No answer came in time.
+    /// No response arrived in time.
     Silent,
-    /// What came can't be used.
+    /// The received data is invalid.
     Unusable,
 }
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum CallError {
-    /// nobody listens there: {0}
+    /// connection refused: {0}
     Refused(String),
-    /// no connection: {0}
+    /// failed to connect: {0}
     NotConnected(String),
     /// the connection ended before the request was sent: {0}
     NotSent(String),
-    /// no usable answer: {reason}
+    /// no usable response: {reason}
     NoAnswer {
-        /// What happened to it.
-        lost: Lost,
-        /// The same in words.
+        /// How the response was lost.
+        lost: LossCause,
+        /// Description of the error.
         reason: String,
     },
 }
 
 impl CallError {
-    /// Whether the other end can't have seen the request.
+    /// Whether the peer can't have received the request.
     pub fn is_unsent(&self) -> bool {
         !matches!(self, Self::NoAnswer { .. })
     }
 }
 
-/// A connection; dropping it closes it.
+/// A client connection, closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -83,7 +83,7 @@
 impl std::error::Error for CallError {}
 
 impl Connection {
-    /// Connects within `within`; needs a `LocalSet`.
+    /// Connects to `address` with the timeout `within`. Must be called within a `LocalSet`.
     pub async fn open(address: SocketAddr, within: Duration) -> Result<Self, CallError> {
         let connecting = TcpStream::connect(address);
         let stream = match timeout(within, connecting).await {
@@ -94,14 +94,14 @@
             Ok(Err(error)) => return Err(CallError::NotConnected(error.to_string())),
             Err(_) => return Err(CallError::NotConnected("timed out".to_string())),
         };
-        if let Err(error) = tune(&stream) {
-            log::warn!(error:% = error; "a connection's options can't be set");
+        if let Err(error) = set_socket_options(&stream) {
+            log::warn!(error:% = error; "failed to set socket options");
         }
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
         let (sender, connection) =
             handshake.map_err(|error| CallError::NotConnected(error.to_string()))?;
         let task = tokio::task::spawn_local(async move {
-            // How the connection ended reaches whoever waits for the answer.
+            // The result also reaches the caller that awaits the response.
             let _ = connection.await;
         });
         Ok(Self {
@@ -110,12 +110,12 @@
         })
     }
 
-    /// Whether it can't take another request.
+    /// Whether the connection is closed and can't take another request.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     pub async fn send(&mut self, request: Request<Bytes>) -> Result<Response<Incoming>, CallError> {
         let request = request.map(Full::new);
         match self.sender.try_send_request(request).await {
@@ -126,14 +126,14 @@
                 if unsent {
                     return Err(CallError::NotSent(reason));
                 }
-                let lost = lost(error.error());
+                let lost = loss_cause(error.error());
                 Err(CallError::NoAnswer { lost, reason })
             }
         }
     }
 }
 
-/// An error with what caused it.
+/// Formats an error together with its cause.
 pub(crate) fn describe(error: &hyper::Error) -> String {
     let cause = std::error::Error::source(error);
     match cause {
@@ -142,35 +142,37 @@
     }
 }
 
-/// How an answer was lost, by the error that ended it.
-pub(crate) fn lost(error: &hyper::Error) -> Lost {
+/// Classifies the error that ended a response.
+pub(crate) fn loss_cause(error: &hyper::Error) -> LossCause {
     if error.is_parse() {
-        return Lost::Unusable;
+        return LossCause::Unusable;
     }
     let mut cause = std::error::Error::source(error);
     while let Some(error) = cause {
         if let Some(error) = error.downcast_ref::<io::Error>() {
-            return lost_by(error.kind());
+            return loss_cause_of_kind(error.kind());
         }
         cause = error.source();
     }
-    Lost::BrokenOff
+    LossCause::BrokenOff
 }
 
-fn lost_by(kind: io::ErrorKind) -> Lost {
+fn loss_cause_of_kind(kind: io::ErrorKind) -> LossCause {
     match kind {
         io::ErrorKind::TimedOut
         | io::ErrorKind::HostUnreachable
-        | io::ErrorKind::NetworkUnreachable => Lost::PathLost,
-        io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput => Lost::Unusable,
-        _ => Lost::BrokenOff,
+        | io::ErrorKind::NetworkUnreachable => LossCause::PathLost,
+        io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput => LossCause::Unusable,
+        _ => LossCause::BrokenOff,
     }
 }
 
-fn tune(stream: &TcpStream) -> io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    let probes = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE);
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
+    let probes = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&probes.with_retries(2))
 }
--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -22,15 +22,15 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::Notify;
 
-use crate::budget::Budget;
-use crate::crash::Looks;
+use crate::budget::RetryBudget;
 use crate::dialect::Dialect;
 use crate::drain::Drain;
 use crate::headcount::Headcount;
-use crate::helpers::Helpers;
-use crate::helpers::Reason;
+use crate::helper_refusals::HelperRefusals;
+use crate::helper_refusals::RefusalReason;
+use crate::lost_run::EndpointProbes;
 use crate::metrics::Metrics;
-use crate::quarantine::Crashes;
+use crate::quarantine::CrashTracker;
 use crate::relay::Options;
 use crate::traffic::Traffic;
 use crate::view::Endpoint;
@@ -69,13 +69,13 @@
     pub(crate) lengths: RefCell<Lengths>,
     pub(crate) outliers: Outliers,
     /// Endpoints that refuse to read parts of others' prompts.
-    pub(crate) helpers: RefCell<Helpers>,
+    pub(crate) helpers: RefCell<HelperRefusals>,
     /// What endpoints ask of those that send them requests.
     pub(crate) backpressure: RefCell<Table>,
-    pub(crate) budget: RefCell<Budget>,
+    pub(crate) budget: RefCell<RetryBudget>,
     /// Looks under way whether an endpoint has ended.
-    pub(crate) looks: RefCell<Looks>,
-    pub(crate) crashes: Crashes,
+    pub(crate) looks: RefCell<EndpointProbes>,
+    pub(crate) crashes: CrashTracker,
     pub(crate) metrics: Metrics,
     pub(crate) traffic: Traffic,
     pub(crate) drain: Drain,
@@ -107,18 +107,18 @@
 
     /// An endpoint refused to help with a prompt; answers why, as far as it shows. `is_reserved`: whether memory was
     /// reserved there for it.
-    pub(crate) fn help_refused(&self, endpoint: &Endpoint, is_reserved: bool) -> Reason {
+    pub(crate) fn help_refused(&self, endpoint: &Endpoint, is_reserved: bool) -> RefusalReason {
         let parts = u32::from(self.board.borrow().held(endpoint.key).parts);
         let reason = match (parts >= endpoint.facts.slots, is_reserved) {
-            (true, _) => Reason::Busy,
-            (false, true) => Reason::Reservation,
-            (false, false) => Reason::Leaves,
+            (true, _) => RefusalReason::Busy,
+            (false, true) => RefusalReason::Reservation,
+            (false, false) => RefusalReason::Leaves,
         };
         self.metrics.help_refusals.inc(reason.name());
         let now_ms = self.now_whole_ms();
         self.helpers
             .borrow_mut()
-            .refused(endpoint.key, reason, now_ms);
+            .record_refusal(endpoint.key, reason, now_ms);
         self.board_changed.notify_one();
         reason
     }
@@ -195,6 +195,6 @@
         let gateways = self.gateways_sharing();
         let live = self.published.live();
         let mut budget = self.budget.borrow_mut();
-        budget.again(&live.budget, service, now_ms, gateways)
+        budget.try_take_retry(&live.budget, service, now_ms, gateways)
     }
 }
--- a/crates/mgs-relay/src/dialect.rs
+++ b/crates/mgs-relay/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What requests and answers look like at both ends: the border to the protocols.
+//! The wire formats at both ends: how requests and responses look to clients and endpoints.
 
 use std::net::SocketAddr;
 
@@ -11,30 +11,30 @@
 use mgs_backpressure::advice::Advice;
 use mgs_placing::need;
 
-/// A client's request as it is understood.
+/// The parsed head of a client's request.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Ask {
-    /// Identifier of this attempt of the client.
+pub struct ClientRequest {
+    /// Identifier of this attempt by the client.
     pub request_id: String,
     /// Host name without port, in lower case.
     pub host: String,
-    /// The caller's key.
+    /// The caller's API key.
     pub api_key: Option<String>,
-    /// How long the client will wait, in milliseconds.
+    /// How long the client waits, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Tokens of the prompt; 0 for calls of plain services.
+    /// Prompt length in tokens; 0 for calls of services without an engine model.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Largest answer length in tokens.
     pub output_tokens: u64,
-    /// Tokens that the client expects the answer to have; right at the median and often far off.
+    /// Answer length that the client expects, in tokens; right at the median and often far off.
     pub expected_tokens: Option<u64>,
-    /// The last event that the client already has, if it continues a stream.
+    /// The last event that the client already has, if it resumes a stream.
     pub last_event_id: Option<String>,
 }
 
-impl Ask {
-    /// Size of the request in read tokens, with the answer that the client expects or, without its word, the
-    /// longest one that it takes.
+impl ClientRequest {
+    /// Size of the request in read tokens, with the answer length that the client expects or, if it
+    /// states none, the longest that it accepts.
     pub fn size_tokens(&self) -> u64 {
         let answer = self.expected_tokens.unwrap_or(self.output_tokens);
         let answer = answer.min(self.output_tokens);
@@ -42,120 +42,125 @@
     }
 }
 
-/// Why a request isn't understood.
+/// Why the head of a request can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-pub enum Malformed {
+pub enum RequestError {
     /// the request has no identifier
     NoRequestId,
     /// the request names no host
     NoHost,
-    /// the field {0} can't be read
+    /// the header field {0} can't be parsed
     Field(String),
 }
 
 /// An engine that reads a part of the prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Helper {
-    /// Where it listens.
+    /// Address at which the engine listens.
     pub address: SocketAddr,
-    /// The reservation there that keeps a part of the prompt's memory.
+    /// Identifier of the reservation there for a part of the prompt's memory.
     pub reservation: Option<String>,
 }
 
-/// What is said to an endpoint besides the client's own request.
+/// What a dispatch tells an endpoint in addition to the client's request.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Dispatch {
-    /// The incarnation that is meant.
+    /// Identifier of the endpoint that the dispatch is meant for.
     pub endpoint_id: String,
-    /// What is left of the request's time, in milliseconds.
+    /// Time left for the request, in milliseconds.
     pub left_ms: u64,
     /// The caller's organisation.
     pub organisation: Option<String>,
-    /// Rank at the engine from 0 (first) to 9; `None` for plain services.
+    /// Rank at the engine from 0 (first) to 9; `None` for services without an engine model.
     pub rank: Option<u8>,
-    /// Engines that read parts.
+    /// Engines that read parts of the prompt.
     pub helpers: Vec<Helper>,
-    /// The last event that was passed on, if a stream is continued.
+    /// The last event that was forwarded, if a stream is resumed.
     pub last_event_id: Option<String>,
 }
 
-/// Why an endpoint says that it didn't run a request.
+/// Why an endpoint didn't run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRun {
-    /// It is full, or the request's time ended in its queue.
+    /// It is full, or the request's deadline passed in its queue.
     Full,
-    /// The address belongs to another incarnation.
+    /// Another incarnation listens at the address.
     OtherIncarnation,
-    /// It says so for another reason.
+    /// Any other reason.
     Other,
 }
 
-/// How the head of an endpoint's answer is to be taken.
+/// Classification of an endpoint's response by its head.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reply {
-    /// The endpoint proves that it didn't run the request.
+pub enum ResponseKind {
+    /// Proof that the endpoint didn't run the request.
     NotRun {
-        /// Why.
+        /// The reason.
         reason: NotRun,
-        /// The endpoint at fault, if it isn't the one that answered.
+        /// Address of the endpoint at fault, if it isn't the one that responded.
         at_fault: Option<SocketAddr>,
     },
     /// The endpoint's own answer to this request.
     Answer,
-    /// Not an answer of this endpoint to this request.
-    Foreign(Foreign),
+    /// Not this endpoint's response to this request.
+    Foreign(InvalidResponse),
 }
 
-/// What shows that an answer isn't the endpoint's answer to this request.
+/// Why a response isn't the endpoint's response to this request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Foreign {
-    /// it answers another request
+pub enum InvalidResponse {
+    /// the response belongs to another request
     OtherRequest,
     /// the endpoint's signature is missing
     Unsigned,
-    /// its body was changed on the way
+    /// the response body was re-encoded in transit
     Encoded,
 }
 
-/// Memory to set aside at an engine.
+/// A memory reservation at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reservation {
-    /// Its name, unique.
+    /// Unique identifier.
     pub id: String,
-    /// The incarnation that is meant.
+    /// Identifier of the endpoint that the reservation is meant for.
     pub endpoint_id: String,
-    /// Tokens.
+    /// Reserved memory, in tokens.
     pub tokens: u64,
-    /// For how long, from its arrival, in milliseconds.
+    /// How long it is held after its arrival, in milliseconds.
     pub hold_ms: u64,
 }
 
-/// The protocols at both ends.
+/// The protocols towards clients and endpoints.
 pub trait Dialect {
-    /// Understands the head of a client's request.
-    fn ask(&self, head: &request::Parts) -> Result<Ask, Malformed>;
+    /// Parses the head of a client's request.
+    fn parse_request(&self, head: &request::Parts) -> Result<ClientRequest, RequestError>;
 
-    /// The fields that an endpoint gets: those of the client that may pass, and ours.
+    /// Header fields of a dispatch: those of the client that are forwarded, and those added here.
     fn dispatch_fields(&self, client: &HeaderMap, dispatch: &Dispatch) -> HeaderMap;
 
-    /// How the head of an endpoint's answer to `ask` is to be taken.
-    fn reply(&self, ask: &Ask, head: &response::Parts) -> Reply;
+    /// Classifies the head of an endpoint's response to `client_request`.
+    fn classify_response(
+        &self,
+        client_request: &ClientRequest,
+        head: &response::Parts,
+    ) -> ResponseKind;
 
-    /// What an answer says of the endpoint that gave it; nothing if it may be another's, or an answer to another request.
-    fn advice(&self, ask: &Ask, head: &response::Parts) -> Advice;
+    /// The advice that a response carries about its endpoint; empty if the response may come from
+    /// another endpoint or belong to another request.
+    fn advice(&self, client_request: &ClientRequest, head: &response::Parts) -> Advice;
 
-    /// The fields of an endpoint's answer that a client gets.
-    fn answer_fields(&self, endpoint: &HeaderMap) -> HeaderMap;
+    /// Header fields of an endpoint's response that are forwarded to the client.
+    fn response_fields(&self, endpoint: &HeaderMap) -> HeaderMap;
 
-    /// The fields of our own answer to a request, if it has an identifier.
+    /// Header fields of a response made by this host, with the request's identifier if it has one.
     fn own_fields(&self, request_id: Option<&str>) -> HeaderMap;
 
-    /// The call that sets memory aside, or renews it.
+    /// The request that makes or renews a reservation.
     fn reserve(&self, reservation: &Reservation) -> Request<Bytes>;
 
-    /// The call that gives memory back.
+    /// The request that releases a reservation.
     fn release(&self, reservation: &Reservation) -> Request<Bytes>;
 
-    /// Path at which the balancer asks whether this host takes connections.
+    /// Path at which the balancer checks whether this host accepts connections.
     fn ready_path(&self) -> &str;
 }
--- /dev/null
+++ b/crates/mgs-relay/src/dispatcher.rs
@@ -0,0 +1,484 @@
+//! Drives one request: dispatches it until an endpoint answers or no further attempt is allowed.
+
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::request;
+use http::response;
+use http::Request;
+use mgs_fleet::view::EndpointKey;
+use mgs_placing::model::EngineModel;
+use mgs_placing::need::Need;
+use mgs_quarantine::key::WorkKey;
+use tokio::time::sleep;
+use tokio::time::timeout;
+use tokio::time::Instant;
+
+use crate::advice;
+use crate::attempt;
+use crate::attempt::DispatchResult;
+use crate::attempt::EventStream;
+use crate::connection::LossCause;
+use crate::core::Core;
+use crate::dialect::ClientRequest;
+use crate::dialect::Dispatch;
+use crate::fault::Fault;
+use crate::fault::Refusal;
+use crate::lost_run;
+use crate::lost_run::EndpointFate;
+use crate::lost_run::LostRun;
+use crate::place;
+use crate::place::PlacedRequest;
+use crate::place::Prompt;
+use crate::place::TriedEndpoints;
+use crate::progress::DispatchProgress;
+use crate::progress::FailedDispatch;
+use crate::quarantine;
+use crate::quarantine::Permission;
+use crate::quarantine::CRASH_REPORT_DELAY;
+use crate::shown::HELPER_REFUSED;
+use crate::traffic::Carried;
+use crate::view::Organisation;
+use crate::view::Route;
+
+/// Factor by which the first event may be later than predicted before the endpoint counts as
+/// silent.
+const SILENT_FACTOR: f64 = 3.0;
+
+/// Least time without a first event before an endpoint counts as silent, in milliseconds. Engines
+/// give up work that depends on a lost engine after 1.5 s, with proof that it didn't run, which is
+/// better than a guess made here.
+const SILENT_MIN_MS: f64 = 1_900.0;
+
+/// Share of its remaining time that one dispatch of an idempotent call may take if another is
+/// allowed, so that a dispatch that hangs leaves time for the next.
+const DISPATCH_SHARE: f64 = 0.5;
+
+/// Delay before a request is placed again after its endpoint was shut, so that other requests are
+/// served meanwhile.
+const REPLACE_DELAY: Duration = Duration::from_millis(2);
+
+/// Largest rank that engines accept; the largest rank is served last.
+const RANK_MAX: u8 = 9;
+
+/// One request and the state of its dispatches.
+pub(crate) struct Dispatcher {
+    pub(crate) core: Rc<Core>,
+    pub(crate) client_request: ClientRequest,
+    pub(crate) head: request::Parts,
+    pub(crate) body: Bytes,
+    /// Key shared by all requests for the same work.
+    pub(crate) work: WorkKey,
+    pub(crate) route: Arc<Route>,
+    pub(crate) organisation: Option<Arc<Organisation>>,
+    pub(crate) service: String,
+    pub(crate) model: Option<Arc<EngineModel>>,
+    pub(crate) arrived: Instant,
+    pub(crate) deadline: Instant,
+    pub(crate) progress: DispatchProgress,
+    /// What the quarantine allows for this request, since its work may have crashed endpoints.
+    pub(crate) permission: Permission,
+}
+
+/// A complete response of an endpoint.
+pub(crate) struct FullResponse {
+    pub(crate) head: response::Parts,
+    pub(crate) body: Bytes,
+}
+
+/// A stream that has delivered its first events, with the placement that serves it.
+pub(crate) struct StartedStream {
+    pub(crate) head: response::Parts,
+    pub(crate) stream: EventStream,
+    pub(crate) placed: PlacedRequest,
+}
+
+/// A response that can be forwarded to the client.
+pub(crate) enum UsableResponse {
+    Whole(Box<FullResponse>),
+    Stream(Box<StartedStream>),
+}
+
+impl Dispatcher {
+    /// Time left until the deadline.
+    pub(crate) fn time_left(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
+    }
+
+    /// The refusal to send if the deadline passes now.
+    pub(crate) fn timed_out(&self) -> Refusal {
+        let may_have_run = self.progress.in_flight || self.progress.runs > 0;
+        let fault = match may_have_run {
+            true => Fault::TimeoutRunning,
+            false => Fault::TimeoutBefore,
+        };
+        Refusal::of(fault)
+    }
+
+    /// Dispatches until there is a response. `last_event_id` is the last event that was forwarded,
+    /// if a stream is continued.
+    pub(crate) async fn run(
+        &mut self,
+        last_event_id: Option<&str>,
+    ) -> Result<UsableResponse, Refusal> {
+        loop {
+            self.check_quarantine()?;
+            let placed = self
+                .place_and_wait()
+                .await
+                .map_err(|refusal| self.unknown_if_run(refusal))?;
+            // The work may have crashed other endpoints while this request waited.
+            self.recheck_quarantine()?;
+            let failed = match self.dispatch(placed, last_event_id).await {
+                Ok(got) => return Ok(got),
+                Err(failed) => failed,
+            };
+            self.core.metrics.dispatches.inc(failed.name);
+            if self.may_try_again(&failed) {
+                self.core.metrics.retries.inc(failed.name);
+                continue;
+            }
+            return failed.into_result(self.progress.runs);
+        }
+    }
+
+    /// Refuses a request whose work is quarantined, and records what is allowed otherwise.
+    fn check_quarantine(&mut self) -> Result<(), Refusal> {
+        let permission = match self.progress.dispatches {
+            0 => self.core.permission_to_begin(self.work),
+            _ => self.core.permission(self.work),
+        };
+        self.permission = permission.map_err(|refusal| self.unknown_if_run(refusal))?;
+        Ok(())
+    }
+
+    /// Refuses a request whose work was quarantined after it was placed.
+    fn recheck_quarantine(&self) -> Result<(), Refusal> {
+        if self.permission == Permission::Trial {
+            return Ok(());
+        }
+        let permission = self.core.permission(self.work);
+        permission
+            .map(|_| ())
+            .map_err(|refusal| self.unknown_if_run(refusal))
+    }
+
+    /// Replaces a refusal for lack of room by [`Fault::Unknown`] if an earlier dispatch may have
+    /// run: a refusal would claim that the request did not run.
+    fn unknown_if_run(&self, refusal: Refusal) -> Refusal {
+        if self.progress.runs > 0 {
+            return Refusal::of(Fault::Unknown);
+        }
+        refusal
+    }
+
+    /// Places the request and waits until its engines have finished what was placed before. If one
+    /// of the chosen endpoints leaves or is shut meanwhile, it gets nothing new and the request is
+    /// placed again.
+    async fn place_and_wait(&self) -> Result<PlacedRequest, Refusal> {
+        loop {
+            let placed = self.place().await?;
+            if placed.hold_ms > 0.0 {
+                sleep(Duration::from_secs_f64(placed.hold_ms / 1e3)).await;
+            }
+            if !placed.is_present(&self.core.published.fleet()) {
+                log::info!(
+                    request_id = self.client_request.request_id, endpoint = placed.endpoint.facts.incarnation.id;
+                    "an endpoint began to leave before the dispatch"
+                );
+                continue;
+            }
+            match self.core.permit_dispatch(&placed.endpoint) {
+                Ok(()) => return Ok(placed),
+                Err(shut) => advice::log_shut(&self.client_request, &placed.endpoint, shut),
+            }
+            drop(placed);
+            sleep(REPLACE_DELAY).await;
+        }
+    }
+
+    async fn place(&self) -> Result<PlacedRequest, Refusal> {
+        let Some(barred_endpoints) = self.barred_endpoints() else {
+            return self.place_avoiding(&self.progress.tried).await;
+        };
+        let placed = self.place_avoiding(&barred_endpoints).await?;
+        if !barred_endpoints.contains(&placed.endpoint.key) {
+            return Ok(placed);
+        }
+        // Other requests may use avoided endpoints as a last resort, but not one that may have
+        // crashed endpoints.
+        let fleet = self.core.published.fleet();
+        let present = place::active_endpoints(&self.core, &fleet, &self.service);
+        let open = present
+            .iter()
+            .filter(|e| !barred_endpoints.contains(&e.key));
+        Err(self
+            .core
+            .shut()
+            .refusal(open, &self.client_request.request_id))
+    }
+
+    /// Places the request at an endpoint outside `avoided`, if there is one.
+    async fn place_avoiding(&self, avoided: &TriedEndpoints) -> Result<PlacedRequest, Refusal> {
+        let Some(model) = &self.model else {
+            let request_id = &self.client_request.request_id;
+            return place::place_call(&self.core, &self.service, avoided, request_id);
+        };
+        let prompt = Prompt {
+            core: &self.core,
+            request_id: &self.client_request.request_id,
+            service: &self.service,
+            model,
+            tried: avoided,
+        };
+        place::place_prompt(&prompt, || self.need()).await
+    }
+
+    /// The endpoints barred to this request, if it is confined to a single one. A prompt that
+    /// exceeds the memory of one engine needs several and isn't confined.
+    fn barred_endpoints(&self) -> Option<TriedEndpoints> {
+        let exceeds = |model: &Arc<EngineModel>| self.need().memory_tokens() > model.memory_tokens;
+        if self.permission == Permission::Free || self.model.as_ref().is_some_and(exceeds) {
+            return None;
+        }
+        let fleet = self.core.published.fleet();
+        let tried = &self.progress.tried;
+        Some(quarantine::barred_endpoints(
+            &fleet,
+            &self.service,
+            self.work,
+            tried,
+        ))
+    }
+
+    fn need(&self) -> Need {
+        let waited_ms = self.arrived.elapsed().as_secs_f64() * 1e3;
+        let full_aim_ms = self.route.aim_ms as f64;
+        Need {
+            prompt_tokens: self.client_request.prompt_tokens,
+            output_tokens: self.client_request.output_tokens,
+            expected_tokens: self.expected_tokens(),
+            pause_ms: self.route.pause_ms as f64,
+            full_aim_ms,
+            aim_ms: full_aim_ms - waited_ms,
+            left_ms: self.time_left().as_secs_f64() * 1e3,
+            patience_ms: self.route.patience_ms as f64,
+        }
+    }
+
+    /// Expected answer length in tokens: as the client states it, else the usual length that the
+    /// operator configured.
+    fn expected_tokens(&self) -> u64 {
+        let usual = self
+            .model
+            .as_ref()
+            .map_or(0.0, |model| model.usual_answer_tokens);
+        let expected = self.client_request.expected_tokens.unwrap_or(usual as u64);
+        expected.min(self.client_request.output_tokens)
+    }
+
+    async fn dispatch(
+        &mut self,
+        mut placed: PlacedRequest,
+        last_event_id: Option<&str>,
+    ) -> Result<UsableResponse, FailedDispatch> {
+        let request = self.request(&placed, last_event_id);
+        let endpoint = placed.endpoint.clone();
+        self.progress.dispatches += 1;
+        self.progress.in_flight = true;
+        if self.progress.dispatches == 1 {
+            let now_ms = self.core.now_ms();
+            let live = self.core.published.live();
+            let mut budget = self.core.budget.borrow_mut();
+            budget.record_request(&live.budget, &self.service, now_ms);
+        }
+        self.core.traffic.add(Carried::Dispatches, self.body.len());
+        let start = Instant::now();
+        let is_streaming = self.route.kind.is_streaming();
+        let sending = attempt::send(
+            &self.core,
+            &endpoint,
+            request,
+            &self.client_request,
+            is_streaming,
+        );
+        let ended = match self.patience(&placed) {
+            None => sending.await,
+            Some(patience) => timeout(patience, sending)
+                .await
+                .unwrap_or_else(|_| silent()),
+        };
+        self.progress.in_flight = false;
+        let took_ms = start.elapsed().as_millis() as u64;
+        let ended = self.with_helper_at_fault(&placed, ended);
+        self.note(&placed, &ended, took_ms);
+        match ended {
+            DispatchResult::Whole { head, body } => self.accept_full(head, body, endpoint.key),
+            DispatchResult::Started { head, stream } => {
+                placed.grant.first_token();
+                self.progress.runs += 1;
+                Ok(UsableResponse::Stream(Box::new(StartedStream {
+                    head,
+                    stream,
+                    placed,
+                })))
+            }
+            DispatchResult::NotRun { why, .. } => {
+                self.progress.tried.push(endpoint.key);
+                Err(FailedDispatch::not_run(why))
+            }
+            // The answering engine isn't at fault and may be chosen again.
+            DispatchResult::HelperRefused { helper, .. } => {
+                self.progress.tried.push(helper.key);
+                self.progress.helper_refusals += 1;
+                Err(FailedDispatch::not_run(HELPER_REFUSED))
+            }
+            DispatchResult::Unknown { lost, .. } => {
+                self.progress.runs += 1;
+                self.progress.tried.push(endpoint.key);
+                let run = self.lost_run(&placed, 0);
+                drop(placed);
+                self.investigate_loss(run, lost).await;
+                Err(FailedDispatch::unknown("unknown"))
+            }
+        }
+    }
+
+    /// Finds out whether the endpoint has crashed under the request, before another endpoint gets
+    /// it.
+    async fn investigate_loss(&self, run: LostRun, lost: LossCause) {
+        let fate = lost_run::record_lost_run(self.core.clone(), run, lost);
+        if !self.is_repeatable_route() {
+            tokio::task::spawn_local(fate);
+            return;
+        }
+        if fate.await == EndpointFate::Ended {
+            sleep(CRASH_REPORT_DELAY).await;
+        }
+    }
+
+    /// Forwards an endpoint's own error response, unless another endpoint may do better.
+    fn accept_full(
+        &mut self,
+        head: response::Parts,
+        body: Bytes,
+        endpoint: EndpointKey,
+    ) -> Result<UsableResponse, FailedDispatch> {
+        self.progress.runs += 1;
+        self.core.traffic.add(Carried::Answers, body.len());
+        if head.status.is_success() {
+            self.core.run_ended_whole(self.work);
+        }
+        if !head.status.is_server_error() {
+            return Ok(UsableResponse::Whole(Box::new(FullResponse { head, body })));
+        }
+        self.progress.tried.push(endpoint);
+        Err(FailedDispatch {
+            name: "endpoint_error",
+            may_have_run: true,
+            answer: Some(Box::new(FullResponse { head, body })),
+        })
+    }
+
+    /// How long to wait for the first response data before another endpoint is tried; `None` if no
+    /// other may be.
+    fn patience(&self, placed: &PlacedRequest) -> Option<Duration> {
+        if !self.is_repeatable_route() || self.progress.runs + 1 >= self.route.attempts_max {
+            return None;
+        }
+        let time_left = self.time_left();
+        if self.route.kind.is_streaming() {
+            let aim_ms = self.route.aim_ms as f64;
+            let expected_ms = placed.first_token_ms.max(aim_ms);
+            let silent_ms = (expected_ms * SILENT_FACTOR).max(SILENT_MIN_MS);
+            let silent = Duration::from_secs_f64(silent_ms / 1e3);
+            return Some(silent).filter(|silent| *silent < time_left);
+        }
+        Some(time_left.mul_f64(DISPATCH_SHARE))
+    }
+
+    fn is_repeatable_route(&self) -> bool {
+        self.route.kind.is_repeatable()
+    }
+
+    fn may_try_again(&self, failed: &FailedDispatch) -> bool {
+        if self.permission == Permission::Trial || self.core.permission(self.work).is_err() {
+            return false;
+        }
+        if self.time_left().is_zero() || !self.progress.allows_another_dispatch() {
+            return false;
+        }
+        if failed.may_have_run && !self.is_repeatable_route() {
+            return false;
+        }
+        if self.progress.runs >= self.route.attempts_max {
+            return false;
+        }
+        self.core.may_try_again(&self.service)
+    }
+
+    fn request(&self, placed: &PlacedRequest, last_event_id: Option<&str>) -> Request<Bytes> {
+        let dispatch = Dispatch {
+            endpoint_id: placed.endpoint.facts.incarnation.id.clone(),
+            left_ms: self.time_left().as_millis() as u64,
+            organisation: self.organisation.as_ref().map(|o| o.name.clone()),
+            rank: self.model.as_ref().map(|_| self.rank()),
+            helpers: placed.helpers.clone(),
+            last_event_id: last_event_id.map(str::to_string),
+        };
+        let fields = self
+            .core
+            .dialect
+            .dispatch_fields(&self.head.headers, &dispatch);
+        let mut request = Request::new(self.body.clone());
+        *request.method_mut() = self.head.method.clone();
+        *request.uri_mut() = self.head.uri.clone();
+        *request.headers_mut() = fields;
+        request
+    }
+
+    /// Rank at an engine, from the operators' priorities only. A rank by length would let short
+    /// prompts repeatedly take the memory that a long one waits for.
+    fn rank(&self) -> u8 {
+        let own = self.organisation.as_ref().and_then(|o| o.priority);
+        own.unwrap_or(self.route.priority).min(RANK_MAX)
+    }
+
+    /// Describes the run of a lost dispatch. `reached` is the number of events that it had
+    /// produced.
+    pub(crate) fn lost_run(&self, placed: &PlacedRequest, reached: u32) -> LostRun {
+        let fleet = self.core.published.fleet();
+        let helpers = placed.helper_keys.iter();
+        let helpers = helpers.filter_map(|key| fleet.by_key.get(key).cloned());
+        LostRun {
+            helpers: helpers.collect(),
+            request_id: self.client_request.request_id.clone(),
+            work: self.work,
+            endpoint: placed.endpoint.clone(),
+            reached,
+        }
+    }
+}
+
+fn silent() -> DispatchResult {
+    DispatchResult::Unknown {
+        lost: LossCause::Silent,
+        why: "silent".to_string(),
+    }
+}
+
+impl Dispatcher {
+    /// Whether a stream that broke off may be continued elsewhere; takes a retry from the budget if
+    /// so.
+    pub(crate) fn may_resume(&mut self, broken_off: EndpointKey) -> bool {
+        self.progress.tried.push(broken_off);
+        let broken = FailedDispatch::unknown("stream_broke_off");
+        let may = self.may_try_again(&broken);
+        if may {
+            self.core.metrics.retries.inc(broken.name);
+        }
+        may
+    }
+}
--- a/crates/mgs-relay/src/drain.rs
+++ b/crates/mgs-relay/src/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving: what is open ends, nothing new begins, and then the process stops.
+//! Graceful shutdown: open requests end, no new ones are accepted, and then the process stops.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -6,16 +6,17 @@
 
 use tokio::sync::watch;
 
-/// When a client may come back to another host, in milliseconds.
+/// `Retry-After` while this host shuts down, in milliseconds; the client then reaches another host.
 pub(crate) const RETRY_AFTER_LEAVING_MS: u64 = 50;
 
-/// Settings of leaving.
+/// Settings of the graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// How long new requests are still taken, in milliseconds. The balancer asks each second and needs
-    /// two misses.
+    /// How long new requests are still accepted, in milliseconds. The balancer checks every second
+    /// and needs two failed checks.
     pub accept_ms: u64,
-    /// When what is still open is cut, in milliseconds from the signal; before the platform kills.
+    /// When requests that are still open are aborted, in milliseconds from the signal; must be
+    /// before the platform kills the process.
     pub end_ms: u64,
 }
 
@@ -28,22 +29,22 @@
     }
 }
 
-/// Where leaving stands.
+/// Phase of the shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Serving.
+    /// Normal operation.
     Serving,
-    /// Not ready any more; requests are still taken, connections closed after their answer.
+    /// Reports not ready. Requests are still accepted, and connections close after their response.
     Closing,
-    /// Nothing new is taken.
+    /// New requests are refused.
     Ending,
 }
 
-/// The state of leaving, shared by all connections.
+/// Shutdown state, shared by all connections.
 #[derive(Debug)]
 pub(crate) struct Drain {
     phase: watch::Sender<Phase>,
-    /// When what is still open is cut, once that is known.
+    /// When requests that are still open are aborted, once a shutdown has begun.
     end_at: Cell<Option<Instant>>,
     open: Cell<usize>,
 }
@@ -62,7 +63,7 @@
         *self.phase.borrow()
     }
 
-    /// Time until what is still open is cut, in milliseconds; `None` while this host stays.
+    /// Time until open requests are aborted, in milliseconds; `None` without a shutdown.
     pub(crate) fn left_ms(&self) -> Option<f64> {
         let end_at = self.end_at.get()?;
         let left = end_at.saturating_duration_since(Instant::now());
@@ -85,19 +86,19 @@
         self.open.set(self.open.get().saturating_sub(1));
     }
 
-    /// Leaves: comes back when nothing is open any more, or when time is up.
-    pub(crate) async fn leave(&self, options: Options) {
-        const LOOK: Duration = Duration::from_millis(50);
+    /// Shuts down; returns when no request is open any more or the time is up.
+    pub(crate) async fn drain_requests(&self, options: Options) {
+        const POLL_INTERVAL: Duration = Duration::from_millis(50);
         let end_at = Instant::now() + Duration::from_millis(options.end_ms);
         self.end_at.set(Some(end_at));
         self.phase.send_replace(Phase::Closing);
         tokio::time::sleep(Duration::from_millis(options.accept_ms)).await;
         self.phase.send_replace(Phase::Ending);
-        // A moment for the last answers to leave the sockets.
-        tokio::time::sleep(LOOK).await;
+        // Leaves time for the last responses to be sent.
+        tokio::time::sleep(POLL_INTERVAL).await;
         while self.open.get() > 0 && Instant::now() < end_at {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/mgs-relay/src/event.rs
+++ b/crates/mgs-relay/src/event_splitter.rs
@@ -1,26 +1,26 @@
-//! Events of a stream, cut out of bytes that arrive in any portions.
+//! Splits a server-sent event stream, received in chunks of any size, into whole events.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-const END: &[u8] = b"\n\n";
+const EVENT_END: &[u8] = b"\n\n";
 const ID_FIELD: &[u8] = b"id:";
 
-/// Longest event that is waited for, in bytes; endpoints send some hundred.
+/// Longest event that is accepted, in bytes; endpoints send some hundred.
 const EVENT_BYTES_MAX: usize = 1024 * 1024;
 
-/// Cuts whole events out of a stream and remembers the last identifier.
+/// Extracts whole events from a stream and remembers the last event identifier.
 #[derive(Debug, Default)]
-pub(crate) struct Events {
+pub(crate) struct EventSplitter {
     partial: BytesMut,
     last_id: Option<String>,
 }
 
-impl Events {
-    /// Takes what arrived; answers the whole events among it and what was kept, as they came.
+impl EventSplitter {
+    /// Adds received bytes; returns all events that are complete now, unchanged.
     pub(crate) fn take(&mut self, arrived: &[u8]) -> Bytes {
         self.partial.extend_from_slice(arrived);
-        let Some(end) = last_end(&self.partial) else {
+        let Some(end) = last_boundary(&self.partial) else {
             return Bytes::new();
         };
         let whole = self.partial.split_to(end).freeze();
@@ -35,20 +35,22 @@
         self.last_id.as_deref()
     }
 
-    /// Whether an event was begun and not ended.
+    /// Whether an event has begun and not ended.
     pub(crate) fn is_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Whether an event has grown beyond all bounds.
+    /// Whether an incomplete event exceeds [`EVENT_BYTES_MAX`].
     pub(crate) fn is_excessive(&self) -> bool {
         self.partial.len() > EVENT_BYTES_MAX
     }
 }
 
-fn last_end(bytes: &[u8]) -> Option<usize> {
-    let at = bytes.windows(END.len()).rposition(|window| window == END)?;
-    Some(at + END.len())
+fn last_boundary(bytes: &[u8]) -> Option<usize> {
+    let at = bytes
+        .windows(EVENT_END.len())
+        .rposition(|window| window == EVENT_END)?;
+    Some(at + EVENT_END.len())
 }
 
 fn last_id(events: &[u8]) -> Option<String> {
--- a/crates/mgs-relay/src/fault.rs
+++ b/crates/mgs-relay/src/fault.rs
@@ -1,9 +1,10 @@
-//! Why a request isn't answered by an endpoint, and what the client is told.
+//! Why a request ends without an endpoint's response, and what the client is told.
 
 use displaydoc::Display;
 use http::StatusCode;
 
-/// Why a request ends without an endpoint's answer.
+/// Why a request ends without an endpoint's response. The doc comment of a variant is the message
+/// in the response to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum Fault {
     /// no configuration is known yet
@@ -45,7 +46,7 @@
 }
 
 impl Fault {
-    /// Status for the client. Only 429 and 503 say that the request has not run.
+    /// Status code for the client. Only 429 and 503 imply that the request has not run.
     pub(crate) fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -84,7 +85,7 @@
     }
 }
 
-/// A fault and when the client may come back.
+/// A fault and when the client may retry.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Refusal {
     pub(crate) fault: Fault,
--- a/crates/mgs-relay/src/follow.rs
+++ b/crates/mgs-relay/src/follow.rs
@@ -23,13 +23,11 @@
 
 use crate::bad_rows::BadRows;
 use crate::belief::Belief;
-use crate::calls::Calls;
-use crate::calls::Reason;
-use crate::gather;
-use crate::gather::Pause;
-use crate::help;
-use crate::holds::Write;
+use crate::holds::HoldWrite;
 use crate::membership::Endpoints;
+use crate::peer_fallback;
+use crate::read_pause;
+use crate::read_pause::ReadPause;
 use crate::source::Batch;
 use crate::source::Revision;
 use crate::source::Source;
@@ -37,9 +35,11 @@
 use crate::source::SourceFactory;
 use crate::source::Topic;
 use crate::source::Update;
+use crate::store_calls::CallReason;
+use crate::store_calls::StoreCalls;
 use crate::view::Published;
 
-pub use crate::calls::Tallies;
+pub use crate::store_calls::StoreMetrics;
 
 /// Settings of following.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -110,7 +110,7 @@
     options: Options,
     factory: Box<dyn SourceFactory>,
     published: Arc<Published>,
-    tallies: Tallies,
+    tallies: StoreMetrics,
 ) -> std::io::Result<()> {
     let runtime = Builder::new_current_thread()
         .enable_io()
@@ -120,7 +120,7 @@
         let local = LocalSet::new();
         let endpoints = Endpoints::new(options.lapse_grace_ms);
         let endpoints = Rc::new(RefCell::new(endpoints));
-        local.spawn_local(help::run(
+        local.spawn_local(peer_fallback::run(
             options.clone(),
             published.clone(),
             endpoints.clone(),
@@ -139,7 +139,7 @@
         local.spawn_local(keep_holds(
             options.clone(),
             published.clone(),
-            Calls::new(Topic::Gateways, tallies.store_calls.clone()),
+            StoreCalls::new(Topic::Gateways, tallies.store_calls.clone()),
             factory.source(),
         ));
         local.spawn_local(follow(follower(Topic::Configuration), factory.source()));
@@ -178,23 +178,23 @@
 async fn keep_holds(
     options: Options,
     published: Arc<Published>,
-    calls: Calls,
+    calls: StoreCalls,
     mut source: Box<dyn Source>,
 ) {
     let holds = published.holds();
     loop {
-        for (work, write) in holds.to_write().await {
-            calls.count(Reason::Hold);
+        for (work, write) in holds.next_writes().await {
+            calls.count(CallReason::Hold);
             let written = match &write {
-                Write::Hold(hold) => source.put_hold(hold).await,
-                Write::LetGo => source.remove_hold(work).await,
+                HoldWrite::Hold(hold) => source.put_hold(hold).await,
+                HoldWrite::LetGo => source.remove_hold(work).await,
             };
             match written {
                 Ok(()) => log::info!(work:% = work; "what is held was written"),
                 Err(error) => {
                     log::warn!(work:% = work, error:% = error; "what is held can't be written");
                     sleep(Duration::from_millis(options.retry_ms)).await;
-                    holds.write_if_none(work, write);
+                    holds.requeue_write(work, write);
                 }
             }
         }
@@ -228,7 +228,7 @@
     gateways: HashMap<String, SocketAddr>,
     rows: BadRows,
     rollbacks: Counters,
-    calls: Calls,
+    calls: StoreCalls,
 }
 
 impl Follower {
@@ -237,7 +237,7 @@
         options: Options,
         published: Arc<Published>,
         endpoints: Rc<RefCell<Endpoints>>,
-        tallies: Tallies,
+        tallies: StoreMetrics,
     ) -> Self {
         Self {
             topic,
@@ -253,7 +253,7 @@
             gateways: HashMap::new(),
             rows: BadRows::new(tallies.bad_rows),
             rollbacks: tallies.store_rollbacks,
-            calls: Calls::new(topic, tallies.store_calls),
+            calls: StoreCalls::new(topic, tallies.store_calls),
         }
     }
 
@@ -269,14 +269,14 @@
     /// Reads the gateways, and adds this one if it isn't listed where it is.
     async fn join(&mut self, source: &mut dyn Source) -> Result<(), SourceError> {
         let start_ms = self.published.now_ms();
-        self.calls.count(Reason::Whole);
+        self.calls.count(CallReason::Whole);
         let batch = source.read_all(self.topic).await?;
         self.apply(batch, start_ms);
         let own = self.options.peer_address;
         if self.gateways.get(&self.options.name) == Some(&own) {
             return Ok(());
         }
-        self.calls.count(Reason::Register);
+        self.calls.count(CallReason::Register);
         source.register(&self.options.name, own).await
     }
 
@@ -288,15 +288,15 @@
             self.revision = None;
         }
         let Some(after) = self.revision else {
-            self.calls.count(Reason::Whole);
+            self.calls.count(CallReason::Whole);
             return Some(source.read_all(self.topic).await);
         };
         let wait_ms = self.wait_ms();
         let is_long = wait_ms > self.options.wait_ms;
         self.calls.count(match (wait_ms, is_long) {
-            (0, _) => Reason::Probe,
-            (_, false) => Reason::Wait,
-            (_, true) => Reason::LongWait,
+            (0, _) => CallReason::Probe,
+            (_, false) => CallReason::Wait,
+            (_, true) => CallReason::LongWait,
         });
         let reading = source.read_changes(self.topic, after, wait_ms);
         match self.belief().filter(|_| is_long) {
@@ -356,7 +356,7 @@
     }
 
     /// A waiting call was given up.
-    fn doubt(&mut self) -> Pause {
+    fn doubt(&mut self) -> ReadPause {
         let age_ms = self
             .belief()
             .and_then(|b| b.age_ms(self.published.now_ms()));
@@ -365,11 +365,11 @@
             "a call to the store that waits isn't trusted"
         );
         self.is_doubtful = true;
-        Pause::None
+        ReadPause::None
     }
 
     /// Takes a reading.
-    fn take(&mut self, read: Result<Batch, SourceError>, start_ms: u64) -> Pause {
+    fn take(&mut self, read: Result<Batch, SourceError>, start_ms: u64) -> ReadPause {
         match read {
             Ok(batch) => {
                 let pause = self.gathering(&batch);
@@ -380,26 +380,26 @@
             Err(SourceError::EraOver { from, to }) => {
                 log::info!(topic = self.topic.name(), from = from, to = to; "the store is in another era");
                 self.revision = None;
-                Pause::Spread
+                ReadPause::Spread
             }
             Err(SourceError::HistoryGone) => {
                 log::info!(topic = self.topic.name(); "the store has dropped its history");
                 self.found(true);
                 self.revision = None;
-                Pause::None
+                ReadPause::None
             }
             Err(error) => {
                 self.lost(&error);
-                Pause::Retry
+                ReadPause::Retry
             }
         }
     }
 
     /// Whether to wait for more of what a batch tells.
-    fn gathering(&self, batch: &Batch) -> Pause {
+    fn gathering(&self, batch: &Batch) -> ReadPause {
         match self.revision {
-            None => Pause::None,
-            Some(_) => gather::after(batch, self.is_one_of_many()),
+            None => ReadPause::None,
+            Some(_) => read_pause::pause_after(batch, self.is_one_of_many()),
         }
     }
 
@@ -452,7 +452,7 @@
         if !self.is_unlisted {
             return;
         }
-        self.calls.count(Reason::Register);
+        self.calls.count(CallReason::Register);
         let own = self.options.peer_address;
         match source.register(&self.options.name, own).await {
             Ok(()) => self.is_unlisted = false,
@@ -469,14 +469,14 @@
         Duration::from_millis(drawn % self.options.spread_ms.max(1))
     }
 
-    async fn pause(&self, pause: Pause) {
+    async fn pause(&self, pause: ReadPause) {
         let options = &self.options;
         match pause {
-            Pause::None => {}
-            Pause::Spread => sleep(self.spread()).await,
-            Pause::Gather => sleep(Duration::from_millis(options.gather_ms)).await,
-            Pause::GatherAll => sleep(Duration::from_millis(options.gather_all_ms)).await,
-            Pause::Retry => {
+            ReadPause::None => {}
+            ReadPause::Spread => sleep(self.spread()).await,
+            ReadPause::Gather => sleep(Duration::from_millis(options.gather_ms)).await,
+            ReadPause::GatherAll => sleep(Duration::from_millis(options.gather_all_ms)).await,
+            ReadPause::Retry => {
                 sleep(Duration::from_millis(options.retry_ms)).await;
                 if self.published.is_reader() {
                     return;
--- a/crates/mgs-relay/src/follow/apply.rs
+++ b/crates/mgs-relay/src/follow/apply.rs
@@ -7,7 +7,7 @@
 
 use super::Follower;
 use crate::bad_rows::BadRow;
-use crate::holds::News;
+use crate::holds::HoldUpdate;
 use crate::membership::Endpoints;
 use crate::membership::Origin;
 use crate::membership::LAPSE_MS;
@@ -194,8 +194,8 @@
         let mut news = Vec::new();
         for update in updates {
             match update {
-                Update::Held(told) => news.push(News::Held(told)),
-                Update::LetGo(work) => news.push(News::LetGo(work)),
+                Update::Held(told) => news.push(HoldUpdate::Held(told)),
+                Update::LetGo(work) => news.push(HoldUpdate::LetGo(work)),
                 Update::Gateway { name, address } => {
                     self.gateways.insert(name, address);
                 }
@@ -205,7 +205,7 @@
                 _ => {}
             }
         }
-        self.published.holds().say(news);
+        self.published.holds().publish(news);
         let own = self.options.peer_address;
         let mut peers: Vec<SocketAddr> = self.gateways.values().copied().collect();
         peers.extend(&self.options.first_peers);
--- a/crates/mgs-relay/src/handover.rs
+++ b/crates/mgs-relay/src/handover.rs
@@ -1,4 +1,4 @@
-//! All that a gateway knows of the store, told to a peer that asks ([`crate::help`]).
+//! All that a gateway knows of the store, told to a peer that asks ([`crate::peer_fallback`]).
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/mgs-relay/src/holds.rs
+++ b/crates/mgs-relay/src/holds.rs
@@ -1,7 +1,9 @@
-//! Works that are held, as the store keeps them: between the thread that follows the store and the one that serves.
+//! Exchanges quarantined works between the thread that follows the store and the one that serves
+//! requests.
 //!
-//! Gateways tell each other what they hold, but all of them may lose power at once. What is held is therefore a row of the
-//! store too, in the table that each gateway follows anyway: a table of its own would be one more call that waits at each.
+//! Gateways tell each other which works are held (quarantined), but all of them may lose power at
+//! once, so held works are rows of the store too. They are kept in the table that each gateway
+//! follows anyway, since a table of their own would cost each gateway one more waiting call.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -11,83 +13,83 @@
 use mgs_quarantine::table::Told;
 use tokio::sync::Notify;
 
-/// What the store says of a work.
+/// A change of a held work in the store.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
-    /// It is held.
+pub enum HoldUpdate {
+    /// The work is held.
     Held(Told),
-    /// It was held, and somebody has let it go.
+    /// The work was held and has been released.
     LetGo(WorkKey),
 }
 
-/// What is to be written of a work.
+/// A write to the store about a work.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Write {
-    /// That it is held.
+pub enum HoldWrite {
+    /// Write that the work is held.
     Hold(Told),
-    /// That it isn't any more.
+    /// Write that the work is no longer held.
     LetGo,
 }
 
-/// What has yet to be taken by either side.
+/// Updates and writes that the other thread has yet to take.
 #[derive(Debug, Default)]
 pub struct Holds {
-    news: Mutex<Vec<News>>,
-    said: Notify,
-    writes: Mutex<BTreeMap<WorkKey, Write>>,
-    wanted: Notify,
-    is_rewrite_wanted: Notify,
+    updates: Mutex<Vec<HoldUpdate>>,
+    updates_changed: Notify,
+    writes: Mutex<BTreeMap<WorkKey, HoldWrite>>,
+    writes_changed: Notify,
+    rewrite_requested: Notify,
 }
 
 impl Holds {
-    /// The store says something.
-    pub fn say(&self, news: Vec<News>) {
-        if news.is_empty() {
+    /// Hands over updates read from the store.
+    pub fn publish(&self, updates: Vec<HoldUpdate>) {
+        if updates.is_empty() {
             return;
         }
-        let mut all = self.news.lock().unwrap_or_else(PoisonError::into_inner);
-        all.extend(news);
+        let mut all = self.updates.lock().unwrap_or_else(PoisonError::into_inner);
+        all.extend(updates);
         drop(all);
-        self.said.notify_one();
+        self.updates_changed.notify_one();
     }
 
-    /// Waits for what the store says.
-    pub async fn heard(&self) -> Vec<News> {
-        self.said.notified().await;
-        let mut news = self.news.lock().unwrap_or_else(PoisonError::into_inner);
-        std::mem::take(&mut *news)
+    /// Waits for updates from the store and takes them.
+    pub async fn next_updates(&self) -> Vec<HoldUpdate> {
+        self.updates_changed.notified().await;
+        let mut updates = self.updates.lock().unwrap_or_else(PoisonError::into_inner);
+        std::mem::take(&mut *updates)
     }
 
-    /// Something is to be written; it replaces what was to be written of the same work.
-    pub fn write(&self, work: WorkKey, write: Write) {
+    /// Requests a write; it replaces a pending one for the same work.
+    pub fn write(&self, work: WorkKey, write: HoldWrite) {
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
         writes.insert(work, write);
         drop(writes);
-        self.wanted.notify_one();
+        self.writes_changed.notify_one();
     }
 
-    /// Something couldn't be written; it still is to be, unless something else is by now.
-    pub fn write_if_none(&self, work: WorkKey, write: Write) {
+    /// Requests a failed write again, unless another one for the same work is pending.
+    pub fn requeue_write(&self, work: WorkKey, write: HoldWrite) {
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
         writes.entry(work).or_insert(write);
         drop(writes);
-        self.wanted.notify_one();
+        self.writes_changed.notify_one();
     }
 
-    /// Waits for something to write.
-    pub async fn to_write(&self) -> BTreeMap<WorkKey, Write> {
-        self.wanted.notified().await;
+    /// Waits for pending writes and takes them.
+    pub async fn next_writes(&self) -> BTreeMap<WorkKey, HoldWrite> {
+        self.writes_changed.notified().await;
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *writes)
     }
 
-    /// The store may have lost what was written: whoever serves is to write it again.
+    /// Requests that all held works are written again, since the store may have lost them.
     pub fn want_rewrite(&self) {
-        self.is_rewrite_wanted.notify_one();
+        self.rewrite_requested.notify_one();
     }
 
-    /// Waits until what is held is to be written again.
+    /// Waits until held works are to be written again.
     pub async fn rewrite_wanted(&self) {
-        self.is_rewrite_wanted.notified().await;
+        self.rewrite_requested.notified().await;
     }
 }
--- a/crates/mgs-relay/src/lib.rs
+++ b/crates/mgs-relay/src/lib.rs
@@ -1,59 +1,60 @@
-//! The event-driven path of a request: from a client's connection to an endpoint's and back.
+//! Event-driven request path: from a client's connection to an endpoint's and back.
 //!
-//! Entry hosts may have a tenth of a core, so one thread carries all open requests, and nothing on it
-//! waits for anything but sockets and timers. What a request looks like on the wire, at either end, is
-//! the matter of a [`dialect::Dialect`]; where the routes and the fleet come from is the matter of whoever
-//! fills [`view::Published`]. Which endpoint is right is decided by `mgs-placing`.
+//! Entry hosts may have a tenth of a core, so a single thread carries all open requests and blocks
+//! on nothing but sockets and timers. The wire format at either end is defined by a
+//! [`dialect::Dialect`]. Routes and the fleet are supplied by whoever fills [`view::Published`].
+//! `mgs-placing` decides which endpoint gets a request.
 //!
-//! What this crate keeps to:
+//! Invariants of this crate:
 //!
-//! - Each request gets its final answer by the earlier of its deadline and its route's timeout.
-//! - *Not run* is said only if no endpoint can have run it.
-//! - A request that isn't idempotent is sent again only after a proof that it didn't run.
-//! - An answer is passed on only if it is the endpoint's own and whole; one that breaks off looks broken.
-//! - A client that leaves takes its work at the endpoints with it.
+//! - Each request gets its final response by the earlier of its deadline and its route's timeout.
+//! - *Not run* is reported only if no endpoint can have run the request.
+//! - A request that isn't idempotent is sent again only after proof that it didn't run.
+//! - A response is forwarded only if it is the endpoint's own and complete; one that breaks off
+//!   reaches the client visibly broken.
+//! - When a client disconnects, its work at the endpoints is cancelled.
 
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
 mod advice;
-mod answer;
 mod attempt;
 mod bad_rows;
 pub mod belief;
 pub mod budget;
-mod calls;
 mod client;
-pub mod connect;
+mod client_response;
+pub mod connection;
 mod core;
-mod crash;
 pub mod dialect;
+mod dispatcher;
 pub mod drain;
-mod event;
+mod event_splitter;
 mod fault;
 pub mod follow;
-mod gather;
-mod grant;
 mod handover;
 pub mod headcount;
-mod help;
-pub mod helpers;
+pub mod helper_refusals;
 pub mod holds;
+mod load_guard;
+mod lost_run;
 pub mod membership;
-mod memory;
 pub mod metrics;
+mod peer_fallback;
 mod peers;
 mod place;
 mod place_log;
 mod progress;
-mod pursue;
 mod quarantine;
+mod read_pause;
 mod readiness;
 pub mod relay;
+mod reservations;
 mod serve;
 mod shown;
 pub mod source;
 mod spread;
+mod store_calls;
 mod stream;
 mod tell;
 mod traffic;
--- a/crates/mgs-relay/src/grant.rs
+++ b/crates/mgs-relay/src/load_guard.rs
@@ -1,4 +1,4 @@
-//! What one dispatch holds on the board, given back when it ends in any way.
+//! The load that one dispatch adds to the board, removed when dropped.
 
 use std::rc::Rc;
 
@@ -9,26 +9,26 @@
 use crate::core::Core;
 use crate::core::FreshRead;
 
-/// What one dispatch holds.
-pub(crate) struct Grant {
+/// Load that one dispatch holds on the board.
+pub(crate) struct LoadGuard {
     core: Rc<Core>,
     held: Vec<(EndpointKey, Held)>,
-    /// Reading that isn't known to be done, in milliseconds at each endpoint.
+    /// Predicted reading at each endpoint that isn't known to be done, in milliseconds.
     read_ms: f64,
     readers: Vec<EndpointKey>,
-    /// Whether several endpoints read: long prompts wait for them.
+    /// Whether several endpoints read the prompt; long prompts at peers wait for such engines.
     is_shared: bool,
 }
 
-impl Grant {
-    /// Holds the places and announces the reading.
+impl LoadGuard {
+    /// Adds the load to the board and announces the reading to peers.
     pub(crate) fn take(
         core: &Rc<Core>,
         held: Vec<(EndpointKey, Held)>,
         readers: Vec<EndpointKey>,
         read_ms: f64,
     ) -> Self {
-        // Reading first: an engine that writes nothing yet begins to read at once.
+        // Reading is added first: an engine without streams to write starts to read at once.
         for endpoint in &readers {
             let reads = reads(&held, readers.len(), *endpoint);
             core.place_read(*endpoint, read_ms, reads);
@@ -47,8 +47,9 @@
         }
     }
 
-    /// The first token came: all parts have been read. Peers are told at once if there were several, since others wait for
-    /// engines that are free; ends of short prompts can wait for the next whole message where there are many peers.
+    /// Records the first token: all parts have been read. If there were several, peers are told at
+    /// once, since other prompts wait for free engines. The end of a short prompt can wait for the
+    /// next whole message where there are many peers.
     pub(crate) fn first_token(&mut self) {
         self.readers.clear();
         let mut board = self.core.board.borrow_mut();
@@ -61,7 +62,7 @@
         self.tell_freed();
     }
 
-    /// Tells peers at once of what is free again, where that is worth a message.
+    /// Tells peers at once of released load, where that is worth a message.
     fn tell_freed(&self) {
         if self.is_shared || self.core.has_few_peers() {
             self.core.tell_freed();
@@ -69,7 +70,7 @@
     }
 }
 
-/// What one of `readers` endpoints reads of a prompt.
+/// What one of the `readers` endpoints reads of a prompt.
 fn reads(held: &[(EndpointKey, Held)], readers: usize, endpoint: EndpointKey) -> Reads {
     let writes = |(key, held): &(EndpointKey, Held)| *key == endpoint && held.running() > 0;
     match (readers, held.iter().any(writes)) {
@@ -79,7 +80,7 @@
     }
 }
 
-impl Drop for Grant {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         let now_ms = self.core.now_ms();
         let mut board = self.core.board.borrow_mut();
--- /dev/null
+++ b/crates/mgs-relay/src/lost_run.rs
@@ -0,0 +1,162 @@
+//! Finds out whether the endpoint of a lost run has crashed or only its connection was lost.
+//!
+//! A run that is cut off proves little: endpoints reset connections, links lose packets, hosts are
+//! stopped. Only an endpoint whose process *ended* under a run may have been crashed by it.
+
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use mgs_fleet::view::EndpointKey;
+use mgs_quarantine::key::WorkKey;
+use tokio::sync::OnceCell;
+use tokio::time::sleep;
+
+use crate::connection::CallError;
+use crate::connection::Connection;
+use crate::connection::LossCause;
+use crate::core::Core;
+use crate::view::Endpoint;
+
+/// Timeout of a connection attempt that probes whether an endpoint still listens.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
+
+/// Delays between further probes of an endpoint. One that still listens after a second has only cut
+/// connections.
+const REPROBE_DELAYS: [Duration; 3] = [
+    Duration::from_millis(50),
+    Duration::from_millis(200),
+    Duration::from_millis(750),
+];
+
+/// What became of the endpoint of a lost run.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum EndpointFate {
+    /// Its process has ended: nothing listens at its address any more.
+    Ended,
+    /// It accepts connections.
+    Lives,
+    /// It was leaving or no longer listed, so its end was expected.
+    Left,
+    /// It can't be determined whether it has ended.
+    Unclear,
+}
+
+impl EndpointFate {
+    /// Name in logs and counters.
+    fn name(self) -> &'static str {
+        match self {
+            Self::Ended => "endpoint_ended",
+            Self::Lives => "endpoint_lives",
+            Self::Left => "endpoint_left",
+            Self::Unclear => "unclear",
+        }
+    }
+}
+
+/// A run without a usable response.
+#[derive(Debug, Clone)]
+pub(crate) struct LostRun {
+    pub(crate) request_id: String,
+    pub(crate) work: WorkKey,
+    pub(crate) endpoint: Arc<Endpoint>,
+    /// Endpoints that read parts of its prompt.
+    pub(crate) helpers: Vec<Arc<Endpoint>>,
+    /// Number of events that it had produced.
+    pub(crate) reached: u32,
+}
+
+/// Probes in flight, by endpoint: all runs that an endpoint loses at once share one.
+pub(crate) type EndpointProbes = HashMap<EndpointKey, Rc<OnceCell<EndpointFate>>>;
+
+/// Finds out what became of the endpoint of a lost run, and logs and records it.
+pub(crate) async fn record_lost_run(core: Rc<Core>, run: LostRun, lost: LossCause) -> EndpointFate {
+    let fate = match lost {
+        LossCause::BrokenOff => endpoint_fate(&core, &run.endpoint).await,
+        LossCause::PathLost | LossCause::Silent | LossCause::Unusable => EndpointFate::Unclear,
+    };
+    core.metrics.lost_runs.inc(fate.name());
+    log::info!(
+        request_id = run.request_id, work:% = run.work,
+        endpoint = run.endpoint.facts.incarnation.id, fate = fate.name(), lost:? = lost,
+        reached = run.reached;
+        "run lost"
+    );
+    if lost == LossCause::BrokenOff {
+        let at_ms = core.now_ms();
+        if matches!(fate, EndpointFate::Lives | EndpointFate::Unclear) {
+            tokio::task::spawn_local(reprobe(core.clone(), run.clone(), at_ms));
+        }
+        core.run_lost(run.clone(), fate, at_ms);
+        if fate == EndpointFate::Ended {
+            tokio::task::spawn_local(probe_helpers(core.clone(), run, at_ms));
+        }
+    }
+    fate
+}
+
+/// Finds out which helpers of a run have crashed with its endpoint.
+async fn probe_helpers(core: Rc<Core>, run: LostRun, at_ms: f64) {
+    for helper in &run.helpers {
+        if self::endpoint_fate(&core, helper).await == EndpointFate::Ended {
+            core.crashed_beside(run.work, helper, at_ms);
+        }
+    }
+}
+
+/// Probes an endpoint again that accepted a connection. A process that ends closes its sockets one
+/// after the other, so its clients may notice before it stops listening.
+async fn reprobe(core: Rc<Core>, run: LostRun, at_ms: f64) {
+    for pause in REPROBE_DELAYS {
+        sleep(pause).await;
+        if core.is_unresolved(&run)
+            && shared_probe(&core, &run.endpoint).await == EndpointFate::Ended
+        {
+            core.run_lost(run, EndpointFate::Ended, at_ms);
+            return;
+        }
+    }
+}
+
+async fn endpoint_fate(core: &Rc<Core>, endpoint: &Arc<Endpoint>) -> EndpointFate {
+    if !is_present(core, endpoint) {
+        return EndpointFate::Left;
+    }
+    if core.has_crashed(endpoint) {
+        return EndpointFate::Ended;
+    }
+    shared_probe(core, endpoint).await
+}
+
+/// Probes an endpoint once for all callers that ask at the same time.
+async fn shared_probe(core: &Core, endpoint: &Endpoint) -> EndpointFate {
+    let pending = {
+        let mut looks = core.looks.borrow_mut();
+        looks.entry(endpoint.key).or_default().clone()
+    };
+    let fate = *pending.get_or_init(|| probe(core, endpoint)).await;
+    core.looks.borrow_mut().remove(&endpoint.key);
+    fate
+}
+
+/// Whether an endpoint is listed and not leaving.
+fn is_present(core: &Core, endpoint: &Endpoint) -> bool {
+    let fleet = core.published.fleet();
+    let listed = fleet.by_key.get(&endpoint.key);
+    listed.is_some_and(|listed| !listed.facts.is_leaving)
+}
+
+async fn probe(core: &Core, endpoint: &Endpoint) -> EndpointFate {
+    match Connection::open(endpoint.facts.address, PROBE_TIMEOUT).await {
+        Ok(_) => EndpointFate::Lives,
+        Err(CallError::Refused(_)) => {
+            core.note_connection_refused(endpoint.key);
+            EndpointFate::Ended
+        }
+        Err(error) => {
+            log::debug!(error:% = error; "endpoint probe was inconclusive");
+            EndpointFate::Unclear
+        }
+    }
+}
--- /dev/null
+++ b/crates/mgs-relay/src/peer_fallback.rs
@@ -0,0 +1,106 @@
+//! Takes configuration and endpoints from peers while the store is unreachable.
+//!
+//! Otherwise, a rolling restart during an outage of the store would leave no gateway with a
+//! configuration, and a store that rejects some gateways would leave these with revoked keys and
+//! endpoints that have left. A peer's data may be older than the store's: it never replaces a newer
+//! configuration, and the first read of the store takes precedence.
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::time::sleep;
+
+use crate::belief::Belief;
+use crate::follow::Options;
+use crate::handover;
+use crate::handover::Handover;
+use crate::membership::Endpoints;
+use crate::view::Configuration;
+use crate::view::Published;
+
+/// Interval between checks whether a peer has newer data while the store is unreachable.
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Delay between two attempts to ask peers at the start.
+const START_RETRY_DELAY: Duration = Duration::from_millis(300);
+
+/// Takes data from peers when needed, until the process ends.
+pub(crate) async fn run(
+    options: Options,
+    published: Arc<Published>,
+    endpoints: Rc<RefCell<Endpoints>>,
+) {
+    sleep(Duration::from_millis(options.start_patience_ms)).await;
+    while !published.is_complete() {
+        if let Some(handover) = handover::ask(&options.first_peers).await {
+            apply_handover(&published, &endpoints, handover);
+        }
+        sleep(START_RETRY_DELAY).await;
+    }
+    let mut ahead = NewerPeer::default();
+    loop {
+        sleep(PEER_CHECK_INTERVAL).await;
+        let peer = fresher_peer(&published).or_else(|| ahead.peer(&published));
+        if let Some(peer) = peer {
+            if let Some(handover) = handover::ask(&[peer]).await {
+                apply_handover(&published, &endpoints, handover);
+            }
+        }
+    }
+}
+
+/// Checks during which a peer must have a newer configuration before it is asked; usually the store
+/// delivers it sooner.
+const CHECKS_BEFORE_ASKING: u32 = 2;
+
+/// Counts for how long peers have had a newer configuration although the store answers. A store
+/// restored from an older copy serves an older configuration until the operators write again, and a
+/// gateway that starts meanwhile reads that.
+#[derive(Debug, Default)]
+struct NewerPeer {
+    content: u64,
+    checks: u32,
+}
+
+impl NewerPeer {
+    /// A peer that has had a newer configuration for more than [`CHECKS_BEFORE_ASKING`] checks.
+    fn peer(&mut self, published: &Published) -> Option<SocketAddr> {
+        let word = published.configuration_belief().better();
+        let Some(word) = word else {
+            *self = Self::default();
+            return None;
+        };
+        if word.content != self.content {
+            *self = Self {
+                content: word.content,
+                checks: 0,
+            };
+        }
+        self.checks += 1;
+        Some(word.from).filter(|_| self.checks > CHECKS_BEFORE_ASKING)
+    }
+}
+
+/// A peer with newer data on a topic for which this gateway can't reach the store.
+fn fresher_peer(published: &Published) -> Option<SocketAddr> {
+    let better = |belief: &Belief| {
+        belief.lost_since_ms()?;
+        belief.better().map(|word| word.from)
+    };
+    better(published.configuration_belief()).or_else(|| better(published.endpoint_belief()))
+}
+
+fn apply_handover(published: &Published, endpoints: &RefCell<Endpoints>, handover: Handover) {
+    let is_lost = |belief: &Belief| belief.lost_since_ms().is_some() || belief.content() == 0;
+    // `put_configuration` ignores an older configuration.
+    published.put_configuration(Configuration::clone(&handover.configuration));
+    if is_lost(published.endpoint_belief()) {
+        let mut endpoints = endpoints.borrow_mut();
+        endpoints.replace_by(handover.endpoints, published.now_ms());
+        published.endpoint_belief().put(endpoints.content());
+        published.put_fleet(endpoints.fleet());
+    }
+}
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -199,7 +199,7 @@
         if let Some(key) = key_of(refused.endpoint) {
             let age_ms = u64::from(refused.age_ms) + ON_THE_WAY_MS;
             let at_ms = core.now_whole_ms().saturating_sub(age_ms);
-            core.helpers.borrow_mut().told(key, at_ms);
+            core.helpers.borrow_mut().record_peer_refusal(key, at_ms);
         }
     }
     if !beacon.is_whole {
--- a/crates/mgs-relay/src/place.rs
+++ b/crates/mgs-relay/src/place.rs
@@ -1,4 +1,4 @@
-//! From a request to the endpoints that serve it: the fleet and the board put before `mgs-placing`.
+//! Chooses the endpoints of a request: prepares the fleet and the load board for `mgs-placing`.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,67 +20,69 @@
 use crate::dialect::Helper;
 use crate::fault::Fault;
 use crate::fault::Refusal;
-use crate::grant::Grant;
-use crate::memory::Reservations;
+use crate::load_guard::LoadGuard;
 use crate::place_log;
+use crate::reservations::Reservations;
 use crate::view::Endpoint;
 use crate::view::Fleet;
 use crate::wait;
 
-/// When clients may come back if no endpoint is known, in milliseconds: the fleet is read each second or
-/// two.
+/// `Retry-After` if no endpoint is known, in milliseconds; the fleet is read every second or two.
 pub(crate) const RETRY_AFTER_NO_ENDPOINT_MS: u64 = 500;
 
-/// How many times a prompt's memory is asked for anew, at other engines, before its client is asked to
-/// come back.
-const RESERVE_TRIES: usize = 3;
+/// Attempts to reserve a prompt's memory, at other engines each time, before it is refused.
+const RESERVE_ATTEMPTS: usize = 3;
 
-/// Where a dispatch goes and what it holds.
-pub(crate) struct Placed {
+/// The endpoints chosen for a dispatch, and the load and memory held there.
+pub(crate) struct PlacedRequest {
     pub(crate) endpoint: Arc<Endpoint>,
     pub(crate) helpers: Vec<Helper>,
     pub(crate) helper_keys: Vec<EndpointKey>,
-    pub(crate) grant: Grant,
-    /// Kept until the request ends or goes on elsewhere.
+    pub(crate) grant: LoadGuard,
+    /// Kept until the request ends or is dispatched elsewhere.
     pub(crate) reservations: Reservations,
     /// Predicted time to the first token, in milliseconds; 0 without a prediction.
     pub(crate) first_token_ms: f64,
-    /// How long to wait before it is sent, in milliseconds.
+    /// How long to wait before the dispatch, in milliseconds.
     pub(crate) hold_ms: f64,
 }
 
-impl Placed {
-    /// Gives back its places and memory: the run that used them is over.
-    pub(crate) fn give_back(&mut self, core: &Rc<Core>) {
-        self.grant = Grant::take(core, Vec::new(), Vec::new(), 0.0);
+impl PlacedRequest {
+    /// Releases load and memory once the run that used them is over.
+    pub(crate) fn release(&mut self, core: &Rc<Core>) {
+        self.grant = LoadGuard::take(core, Vec::new(), Vec::new(), 0.0);
         self.reservations = Reservations::none(core);
     }
 
-    /// Whether all its endpoints are still listed and none of them leaves.
+    /// Whether all its endpoints are still listed and none of them is leaving.
     pub(crate) fn is_present(&self, fleet: &Fleet) -> bool {
         let stays = |key: &EndpointKey| fleet.by_key.get(key).is_some_and(|e| !e.facts.is_leaving);
         stays(&self.endpoint.key) && self.helper_keys.iter().all(stays)
     }
 }
 
-/// Endpoints that already failed this request.
-pub(crate) type Tried = Vec<EndpointKey>;
+/// Endpoints that have already failed this request.
+pub(crate) type TriedEndpoints = Vec<EndpointKey>;
 
-/// Endpoints of a service that are listed and don't leave.
-pub(crate) fn present(core: &Core, fleet: &Fleet, service: &str) -> Vec<Arc<Endpoint>> {
+/// Endpoints of a service that are listed and not leaving.
+pub(crate) fn active_endpoints(core: &Core, fleet: &Fleet, service: &str) -> Vec<Arc<Endpoint>> {
     let listed = fleet.of_service(service).iter();
     let present = listed.filter(|endpoint| !endpoint.facts.is_leaving);
     let present: Vec<Arc<Endpoint>> = present.cloned().collect();
-    // Also those that are shut for now: of all of them, only so many may be passed over.
+    // Includes shut endpoints: the number of endpoints that may be ejected depends on all of them.
     core.outliers.known(present.len());
     present
 }
 
-/// Those of the present endpoints that should take something. Those that were tried or are passed over count
-/// only if there is no other.
-pub(crate) fn usable(core: &Core, present: &[Arc<Endpoint>], tried: &Tried) -> Vec<Arc<Endpoint>> {
+/// Those of the present endpoints that should be chosen from. Tried, ejected and unreachable ones
+/// are returned only if there is no other.
+pub(crate) fn eligible_endpoints(
+    core: &Core,
+    present: &[Arc<Endpoint>],
+    tried: &TriedEndpoints,
+) -> Vec<Arc<Endpoint>> {
     let now_ms = core.now_whole_ms();
-    // The entry of an endpoint that has ended lapses seconds later.
+    // The entry of a crashed endpoint lapses only seconds later, so refused connections count here.
     let stands = |endpoint: &Arc<Endpoint>| {
         core.outliers.standing(endpoint.key, now_ms) != Standing::Ejected
             && !core.refuses_connections(endpoint.key)
@@ -98,20 +100,20 @@
     present.to_vec()
 }
 
-pub(crate) fn on_trial(core: &Core, endpoint: &Endpoint) -> bool {
+pub(crate) fn is_on_trial(core: &Core, endpoint: &Endpoint) -> bool {
     let now_ms = core.now_whole_ms();
     core.outliers.standing(endpoint.key, now_ms) != Standing::Good
 }
 
-/// Places a call of a plain service.
-pub(crate) fn plain(
+/// Places a call of a service that has no engine model.
+pub(crate) fn place_call(
     core: &Rc<Core>,
     service: &str,
-    tried: &Tried,
+    tried: &TriedEndpoints,
     request_id: &str,
-) -> Result<Placed, Refusal> {
+) -> Result<PlacedRequest, Refusal> {
     let fleet = core.published.fleet();
-    let present = present(core, &fleet, service);
+    let present = active_endpoints(core, &fleet, service);
     let shut = core.shut();
     let open: Vec<Arc<Endpoint>> = present
         .iter()
@@ -121,12 +123,12 @@
     if open.is_empty() && !present.is_empty() {
         return Err(shut.refusal(&present, request_id));
     }
-    let endpoints = usable(core, &open, tried);
+    let endpoints = eligible_endpoints(core, &open, tried);
     let candidate = |endpoint: &Arc<Endpoint>| plain::Candidate {
         key: endpoint.key,
         slots: endpoint.facts.slots,
         near: endpoint.facts.zone == core.options.zone,
-        trial: on_trial(core, endpoint),
+        trial: is_on_trial(core, endpoint),
     };
     let candidates: Vec<plain::Candidate> = endpoints.iter().map(candidate).collect();
     let chosen = plain::choose(&candidates, &core.board.borrow());
@@ -147,8 +149,8 @@
         calls: 1,
         ..Held::default()
     };
-    let grant = Grant::take(core, vec![(endpoint.key, held)], Vec::new(), 0.0);
-    Ok(Placed {
+    let grant = LoadGuard::take(core, vec![(endpoint.key, held)], Vec::new(), 0.0);
+    Ok(PlacedRequest {
         endpoint: endpoint.clone(),
         helpers: Vec::new(),
         helper_keys: Vec::new(),
@@ -163,20 +165,20 @@
     Refusal::after(Fault::NoEndpoint, RETRY_AFTER_NO_ENDPOINT_MS)
 }
 
-/// One prompt to be placed.
+/// A prompt to place, with the context of its placement.
 pub(crate) struct Prompt<'a> {
     pub(crate) core: &'a Rc<Core>,
     pub(crate) request_id: &'a str,
     pub(crate) service: &'a str,
     pub(crate) model: &'a EngineModel,
-    pub(crate) tried: &'a Tried,
+    pub(crate) tried: &'a TriedEndpoints,
 }
 
-/// Places a prompt once it is its turn; `need` tells what is left of its time.
-pub(crate) async fn prompt(
+/// Places a prompt once it is its turn. `need` returns the current need, with the time left now.
+pub(crate) async fn place_prompt(
     prompt: &Prompt<'_>,
     need: impl Fn() -> Need,
-) -> Result<Placed, Refusal> {
+) -> Result<PlacedRequest, Refusal> {
     let core = prompt.core;
     let band = turn::band(&need(), prompt.model, &core.options.turns);
     if let Some(band) = band {
@@ -193,28 +195,28 @@
     prompt: &Prompt<'_>,
     band: Option<Band>,
     need: impl Fn() -> Need,
-) -> Result<Placed, Refusal> {
+) -> Result<PlacedRequest, Refusal> {
     let core = prompt.core;
     let mut avoided = prompt.tried.clone();
-    for _ in 0..RESERVE_TRIES {
-        let turned = wait::for_turn(prompt, band, &need, &avoided).await?;
+    for _ in 0..RESERVE_ATTEMPTS {
+        let turned = wait::wait_for_turn(prompt, band, &need, &avoided).await?;
         place_log::placed(core, prompt.request_id, &turned);
         let (need, placement, fleet) = (turned.need, turned.placement, turned.fleet);
-        let grant = hold(prompt, &need, &placement);
+        let grant = take_load_guard(prompt, &need, &placement);
         if placement.reserves.is_empty() {
             let none = Reservations::none(core);
-            return placed(&fleet, placement, grant, none);
+            return placed_request(&fleet, placement, grant, none);
         }
         if let Some(taken) = Reservations::take(core, &fleet, &placement.reserves).await {
-            return placed(&fleet, placement, grant, taken);
+            return placed_request(&fleet, placement, grant, taken);
         }
-        // Whoever had no room has less than the board says.
+        // An engine that refused has less memory free than the board shows.
         avoided.push(placement.first);
     }
     Err(Refusal::after(Fault::Full, wait::RETRY_AFTER_MIN_MS))
 }
 
-fn hold(prompt: &Prompt<'_>, need: &Need, placement: &Placement) -> Grant {
+fn take_load_guard(prompt: &Prompt<'_>, need: &Need, placement: &Placement) -> LoadGuard {
     let core = prompt.core;
     let model = prompt.model;
     let is_long = is_long(need, model, &core.options.placing);
@@ -226,13 +228,13 @@
         .with_slack(need.slack_share(model, placement.first_token_ms));
     let writer = Held {
         streams: vec![stream],
-        memory_tokens: small(at_first),
+        memory_tokens: saturating_u32(at_first),
         ..Held::default()
     };
     let mut held = vec![(placement.first, writer)];
     for reserve in &placement.reserves {
         let memory = Held {
-            memory_tokens: small(reserve.tokens),
+            memory_tokens: saturating_u32(reserve.tokens),
             ..Held::default()
         };
         held.push((reserve.endpoint, memory));
@@ -248,29 +250,29 @@
         };
         held.extend(readers.iter().map(|key| (*key, part.clone())));
     }
-    Grant::take(core, held, readers, placement.read_ms)
+    LoadGuard::take(core, held, readers, placement.read_ms)
 }
 
-fn small(tokens: u64) -> u32 {
+fn saturating_u32(tokens: u64) -> u32 {
     u32::try_from(tokens).unwrap_or(u32::MAX)
 }
 
-fn placed(
+fn placed_request(
     fleet: &Fleet,
     placement: Placement,
-    grant: Grant,
+    grant: LoadGuard,
     reservations: Reservations,
-) -> Result<Placed, Refusal> {
+) -> Result<PlacedRequest, Refusal> {
     let address_of = |key: &EndpointKey| fleet.by_key.get(key).map(|e| e.facts.address);
     let first = fleet.by_key.get(&placement.first).ok_or_else(no_endpoint)?;
-    // Reservations are filled in turn, so their holders come first, as placed.
+    // Engines fill reservations in this order, so the helpers that hold them come first, as placed.
     let addresses: Vec<SocketAddr> = placement.helpers.iter().filter_map(address_of).collect();
     let helper = |address: SocketAddr| Helper {
         address,
         reservation: reservations.at(address),
     };
     let helpers = addresses.into_iter().map(helper).collect();
-    Ok(Placed {
+    Ok(PlacedRequest {
         endpoint: first.clone(),
         helpers,
         helper_keys: placement.helpers,
--- a/crates/mgs-relay/src/place_log.rs
+++ b/crates/mgs-relay/src/place_log.rs
@@ -1,4 +1,4 @@
-//! The log lines on where prompts go: what decided it and how old that was.
+//! Log lines on the placement of prompts: the values behind each decision and their age.
 
 use mgs_placing::need::Need;
 use mgs_placing::turn;
@@ -8,9 +8,9 @@
 use crate::core::Core;
 use crate::fault::Refusal;
 use crate::place::Prompt;
-use crate::wait::Turned;
+use crate::wait::ReadyPrompt;
 
-/// A short prompt waits for a place that others can do without.
+/// Logs that a short prompt waits for a spare place.
 pub(crate) fn waits_for_place(prompt: &Prompt<'_>, asked: &turn::Waiting<'_>) {
     log::info!(
         request_id = prompt.request_id,
@@ -26,7 +26,7 @@
     );
 }
 
-/// A prompt waits for its turn among long ones.
+/// Logs that a prompt waits for its turn among long ones.
 pub(crate) fn waits_for_turn(prompt: &Prompt<'_>, asked: &turn::Waiting<'_>) {
     let placement = asked.placement;
     log::info!(
@@ -42,15 +42,15 @@
     );
 }
 
-/// What engines lack, as it is told in a line.
+/// The resource that engines lack, as log fields.
 #[derive(Debug, Default)]
-struct Lacking {
+struct MissingResource {
     what: &'static str,
     needed_tokens: u64,
     engines_max: usize,
 }
 
-impl Lacking {
+impl MissingResource {
     fn of(no_place: &NoPlace) -> Self {
         let NoPlace::Full { lack, .. } = no_place else {
             return Self::default();
@@ -72,7 +72,7 @@
     }
 }
 
-/// A prompt is refused.
+/// Logs that a prompt is refused.
 pub(crate) fn not_placed(
     prompt: &Prompt<'_>,
     need: &Need,
@@ -81,7 +81,7 @@
     refusal: &Refusal,
 ) {
     let core = prompt.core;
-    let lack = Lacking::of(no_place);
+    let lack = MissingResource::of(no_place);
     log::info!(
         request_id = prompt.request_id,
         service = prompt.service,
@@ -101,8 +101,8 @@
     );
 }
 
-/// A prompt is sent.
-pub(crate) fn placed(core: &Core, request_id: &str, turned: &Turned) {
+/// Logs that a prompt is sent.
+pub(crate) fn placed(core: &Core, request_id: &str, turned: &ReadyPrompt) {
     let fleet = &turned.fleet;
     let (need, placement) = (&turned.need, &turned.placement);
     let first = fleet.by_key.get(&placement.first);
--- a/crates/mgs-relay/src/progress.rs
+++ b/crates/mgs-relay/src/progress.rs
@@ -1,51 +1,53 @@
-//! What has been tried for one request, and whether there may be more.
+//! Dispatches made for one request, and whether more are allowed.
 
+use crate::dispatcher::FullResponse;
+use crate::dispatcher::UsableResponse;
 use crate::fault::Fault;
 use crate::fault::Refusal;
-use crate::place::Tried;
-use crate::pursue::Got;
-use crate::pursue::WholeAnswer;
+use crate::place::TriedEndpoints;
 
-/// Dispatches of one request in all, those that didn't run included, without those that a helper refused.
+/// Most dispatches of one request, including those that didn't run, without those that a helper
+/// refused.
 const DISPATCHES_MAX: u32 = 4;
 
-/// Dispatches of one request that helpers refused: each shows one endpoint that doesn't help, and a prompt that names
-/// sixteen isn't lost to a few of them.
-const UNHELPED_MAX: u32 = 12;
+/// Most dispatches of one request that helpers may refuse. Each refusal identifies one endpoint
+/// that doesn't help, and a prompt that uses sixteen endpoints must survive a few of them.
+const HELPER_REFUSALS_MAX: u32 = 12;
 
-/// When a client may come back after endpoints refused, in milliseconds.
+/// `Retry-After` if endpoints proved that they didn't run the request, in milliseconds.
 const RETRY_AFTER_REFUSED_MS: u64 = 200;
 
-/// What has been tried so far.
+/// Dispatches made so far.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Progress {
-    /// Dispatches made.
+pub(crate) struct DispatchProgress {
+    /// All dispatches.
     pub(crate) dispatches: u32,
     /// Dispatches that may have run.
     pub(crate) runs: u32,
     /// Dispatches that a helper refused.
-    pub(crate) unhelped: u32,
-    /// Whether one is under way.
+    pub(crate) helper_refusals: u32,
+    /// Whether a dispatch is in flight.
     pub(crate) in_flight: bool,
-    pub(crate) tried: Tried,
+    pub(crate) tried: TriedEndpoints,
 }
 
-impl Progress {
-    /// Whether there may be one more dispatch.
-    pub(crate) fn may_go_on(&self) -> bool {
-        let others = self.dispatches - self.unhelped;
-        others < DISPATCHES_MAX && self.unhelped < UNHELPED_MAX
+impl DispatchProgress {
+    /// Whether another dispatch is allowed.
+    pub(crate) fn allows_another_dispatch(&self) -> bool {
+        let others = self.dispatches - self.helper_refusals;
+        others < DISPATCHES_MAX && self.helper_refusals < HELPER_REFUSALS_MAX
     }
 }
 
-/// A dispatch that gave nothing to be passed on, unless nothing better comes.
-pub(crate) struct Failed {
+/// A dispatch without a usable response; `answer` is sent to the client if no later dispatch
+/// succeeds.
+pub(crate) struct FailedDispatch {
     pub(crate) name: &'static str,
     pub(crate) may_have_run: bool,
-    pub(crate) answer: Option<Box<WholeAnswer>>,
+    pub(crate) answer: Option<Box<FullResponse>>,
 }
 
-impl Failed {
+impl FailedDispatch {
     pub(crate) fn not_run(name: &'static str) -> Self {
         Self {
             name,
@@ -62,10 +64,10 @@
         }
     }
 
-    /// How the request ends if this was the last dispatch.
-    pub(crate) fn end(self, runs: u32) -> Result<Got, Refusal> {
+    /// The final result of the request if this was the last dispatch.
+    pub(crate) fn into_result(self, runs: u32) -> Result<UsableResponse, Refusal> {
         if let Some(answer) = self.answer {
-            return Ok(Got::Whole(answer));
+            return Ok(UsableResponse::Whole(answer));
         }
         if runs > 0 {
             return Err(Refusal::of(Fault::Unknown));
--- a/crates/mgs-relay/src/quarantine.rs
+++ b/crates/mgs-relay/src/quarantine.rs
@@ -1,5 +1,7 @@
-//! What this gateway knows of requests that crash endpoints, and what it does by that. Which requests these are is
-//! decided by `mgs-quarantine`; peers are told by [`crate::spread`].
+//! Tracks endpoint crashes and quarantines the requests that cause them.
+//!
+//! `mgs-quarantine` decides which work is held; [`crate::spread`] tells peers. A work is the set of
+//! all identical requests. It is *held* when its requests are refused.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -19,93 +21,95 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::core::Core;
-use crate::crash::Fate;
-use crate::crash::LostRun;
 use crate::fault::Fault;
 use crate::fault::Refusal;
-use crate::holds::News;
-use crate::holds::Write;
+use crate::holds::HoldUpdate;
+use crate::holds::HoldWrite;
+use crate::lost_run::EndpointFate;
+use crate::lost_run::LostRun;
 use crate::membership::LAPSE_MS;
 use crate::view::Endpoint;
 use crate::view::Fleet;
 
-/// When a client of a held request may come back, in milliseconds: longer than it waits, since nothing will have
-/// changed by then.
+/// `Retry-After` for a request of a held work, in milliseconds. It is long since nothing will have
+/// changed sooner.
 const RETRY_AFTER_HELD_MS: u64 = 30_000;
 
-/// Wait between a crash and a second try that might crash the next endpoint: copies of the same request crash others
-/// at about the same time, and whoever sees that tells within a few milliseconds.
-pub(crate) const SETTLE: Duration = Duration::from_millis(25);
+/// Delay between a crash and a retry that might crash the next endpoint. Copies of the same request
+/// crash other endpoints at about the same time, and gateways report that within a few
+/// milliseconds.
+pub(crate) const CRASH_REPORT_DELAY: Duration = Duration::from_millis(25);
 
-/// How long the end of an endpoint may be found out after a run broke off there, and how long one that refuses connections
-/// is passed over, in milliseconds: its entry has lapsed then.
-const ENTRY_MS: f64 = LAPSE_MS as f64;
+/// How long after a lost run its endpoint may still be found to have crashed, and how long an
+/// endpoint that refuses connections is excluded, in milliseconds; its entry in the store has
+/// lapsed by then.
+const ENTRY_LAPSE_MS: f64 = LAPSE_MS as f64;
 
-/// No endpoint starts again sooner after its end, in milliseconds.
+/// Shortest time in which an endpoint restarts, in milliseconds.
 const RESTART_MIN_MS: f64 = 500.0;
 
-/// Time between two looks at what is in doubt and at what may be forgotten.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval between checks of unresolved losses and of expired state.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Most runs that are in doubt; more are forgotten.
-const DOUBTS_MAX: usize = 1_000;
+/// Most unresolved losses that are kept; further ones are dropped.
+const UNRESOLVED_MAX: usize = 1_000;
 
-/// A run that broke off at an endpoint of which it isn't known yet whether it has ended.
-struct Doubt {
+/// A lost run whose endpoint isn't known yet to have crashed or survived.
+struct UnresolvedLoss {
     run: LostRun,
     at_ms: f64,
 }
 
-impl Doubt {
-    /// Whether it is about this work at this endpoint.
+impl UnresolvedLoss {
+    /// Whether this is the loss of the same work at the same endpoint.
     fn is_of(&self, run: &LostRun) -> bool {
         self.run.work == run.work && self.run.endpoint.key == run.endpoint.key
     }
 }
 
-/// Ends under one identifier within this time count once, in milliseconds. What a request crashes is away for seconds
-/// before the request comes again.
+/// Crashes under one identifier within this time count once, in milliseconds. An endpoint that a
+/// request crashes is away for seconds before the request can reach it again.
 const CRASH_LOOP_MS: f64 = 2_000.0;
 
-/// The end of one life of an endpoint.
+/// The last crash that counts under one identifier.
 #[derive(Debug, Clone, Copy)]
-struct CountedEnd {
+struct CountedCrash {
     life: u64,
     at_ms: f64,
 }
 
-/// What a gateway knows of crashes.
-pub(crate) struct Crashes {
+/// A gateway's record of crashes.
+pub(crate) struct CrashTracker {
     table: RefCell<Quarantine>,
-    /// Works under which this gateway saw an endpoint end.
-    seen_here: RefCell<BTreeSet<WorkKey>>,
+    /// Works under which this gateway itself saw an endpoint crash.
+    witnessed: RefCell<BTreeSet<WorkKey>>,
     /// Since when endpoints refuse connections from here, in milliseconds.
     refuse_since_ms: RefCell<HashMap<EndpointKey, f64>>,
-    /// The last life of each identifier whose end counts, and when it was, in milliseconds.
-    counted: RefCell<HashMap<String, CountedEnd>>,
-    doubts: RefCell<Vec<Doubt>>,
-    /// Something is to be told to peers at once.
+    /// The last crash that counts, by the identifier of its endpoint.
+    counted: RefCell<HashMap<String, CountedCrash>>,
+    unresolved: RefCell<Vec<UnresolvedLoss>>,
+    /// Signals changes to report to peers at once.
     pub(crate) urgent: Notify,
-    /// Peers that have just been heard for the first time.
+    /// Peers heard for the first time, which have yet to be told about works.
     pub(crate) newcomers: RefCell<Vec<SocketAddr>>,
 }
 
-impl Crashes {
+impl CrashTracker {
     pub(crate) fn new(options: Options) -> Self {
         Self {
             table: RefCell::new(Quarantine::new(options)),
-            seen_here: RefCell::new(BTreeSet::new()),
+            witnessed: RefCell::new(BTreeSet::new()),
             refuse_since_ms: RefCell::new(HashMap::new()),
             counted: RefCell::new(HashMap::new()),
-            doubts: RefCell::new(Vec::new()),
+            unresolved: RefCell::new(Vec::new()),
             urgent: Notify::new(),
             newcomers: RefCell::new(Vec::new()),
         }
     }
 
-    /// Whether the end of an endpoint is soon after the end of an earlier life under the same identifier: it starts and ends by
-    /// itself then, whatever it runs. One end in a while counts all the same, since a request may do that to a service with
-    /// one endpoint.
+    /// Whether an endpoint crashed soon after an earlier incarnation with the same identifier: it
+    /// then crashes by itself, whatever it runs. The first crash in a while counts all the same,
+    /// since a request may repeatedly crash a service with a single endpoint.
     fn is_crash_loop(&self, endpoint: &Endpoint, at_ms: f64) -> bool {
         let incarnation = &endpoint.facts.incarnation;
         let life = incarnation.hash_64();
@@ -115,44 +119,48 @@
         if known.is_some_and(|known| known.life != life) {
             return true;
         }
-        let end = CountedEnd { life, at_ms };
+        let end = CountedCrash { life, at_ms };
         counted.entry(incarnation.id.clone()).or_insert(end);
         false
     }
 
-    /// Works of which something is new here.
+    /// Takes the works whose record has changed.
     pub(crate) fn take_fresh(&self) -> Vec<WorkKey> {
         self.table.borrow_mut().take_fresh()
     }
 
-    /// What to tell of works.
-    pub(crate) fn told(&self, keys: &[WorkKey], now_ms: f64) -> Vec<Told> {
+    /// Records of works, as reported to peers.
+    pub(crate) fn reports(&self, keys: &[WorkKey], now_ms: f64) -> Vec<Told> {
         let table = self.table.borrow();
         let told = keys.iter().map(|key| table.told(*key, now_ms));
         told.flatten().collect()
     }
 
-    /// Works that a peer must know: held ones, and those that may soon be.
-    pub(crate) fn grave(&self) -> Vec<WorkKey> {
+    /// Works that peers must know: held ones, and those that may soon be.
+    pub(crate) fn confined_or_held(&self) -> Vec<WorkKey> {
         let table = self.table.borrow();
-        let is_grave = |key: &WorkKey| table.verdict(*key) != Verdict::Free;
-        table.keys().into_iter().filter(is_grave).collect()
+        let is_confined_or_held = |key: &WorkKey| table.verdict(*key) != Verdict::Free;
+        table
+            .keys()
+            .into_iter()
+            .filter(is_confined_or_held)
+            .collect()
     }
 }
 
-/// What may be done with one request.
+/// What is allowed for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Permission {
-    /// As any other.
+    /// May run on any endpoint.
     Free,
-    /// On one endpoint only.
+    /// May run on a single endpoint, the same at all gateways.
     Confined,
-    /// On one endpoint only, once: the trial of a held work.
+    /// May run once, on a single endpoint, to test whether the held work still crashes it.
     Trial,
 }
 
 impl Core {
-    /// What may be done with a request, or the refusal of one that is held.
+    /// What is allowed for a request, or the refusal if its work is held.
     pub(crate) fn permission(&self, work: WorkKey) -> Result<Permission, Refusal> {
         let verdict = self.crashes.table.borrow().verdict(work);
         Self::permission_by(verdict)
@@ -166,8 +174,8 @@
         }
     }
 
-    /// The same for a request that begins, which may be the trial of a held work. One gateway only takes that, the
-    /// same by the word of all that hear each other.
+    /// Like [`Core::permission`], for a request that begins and may become the trial of a held
+    /// work. Only one gateway runs the trial: the first by rank among those that hear each other.
     pub(crate) fn permission_to_begin(&self, work: WorkKey) -> Result<Permission, Refusal> {
         let verdict = self.begin(work);
         let refused = match Self::permission_by(verdict) {
@@ -189,17 +197,17 @@
         Ok(Permission::Trial)
     }
 
-    /// What may be done with a work of which a request begins.
+    /// Records that a request of a work begins; returns the verdict.
     fn begin(&self, work: WorkKey) -> Verdict {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
         let verdict = table.begin(work, now_ms);
         drop(table);
-        self.tell_turned();
+        self.apply_verdict_changes();
         verdict
     }
 
-    /// Whether this gateway goes before all that it hears, for one work.
+    /// Whether this gateway ranks before all peers that it hears, for one work.
     fn is_first_for(&self, work: WorkKey) -> bool {
         let rank = |gateway: u64| xxh3_64_with_seed(&work.0.to_le_bytes(), gateway);
         let own = rank(self.incarnation);
@@ -208,51 +216,52 @@
         peers.all(|peer| rank(peer.0) < own)
     }
 
-    /// An endpoint refuses connections: its process has ended, or a cut keeps it out of reach.
-    pub(crate) fn refused_connection(&self, endpoint: EndpointKey) {
+    /// Records that an endpoint refuses connections: its process has ended, or a network cut makes
+    /// it unreachable.
+    pub(crate) fn note_connection_refused(&self, endpoint: EndpointKey) {
         let now_ms = self.now_ms();
         let mut refuse_since_ms = self.crashes.refuse_since_ms.borrow_mut();
         refuse_since_ms.entry(endpoint).or_insert(now_ms);
     }
 
-    /// Whether an endpoint refuses connections, and its entry may not have lapsed yet.
+    /// Whether an endpoint refuses connections and its entry in the store may not have lapsed yet.
     pub(crate) fn refuses_connections(&self, endpoint: EndpointKey) -> bool {
         let refuse_since_ms = self.crashes.refuse_since_ms.borrow();
         refuse_since_ms.contains_key(&endpoint)
     }
 
-    /// An endpoint has answered.
+    /// Records that an endpoint has responded.
     pub(crate) fn endpoint_answered(&self, endpoint: &Endpoint) {
         let mut refuse_since_ms = self.crashes.refuse_since_ms.borrow_mut();
         refuse_since_ms.remove(&endpoint.key);
         drop(refuse_since_ms);
-        // What broke off just before didn't end it, whenever it ends. After a longer time it may be another life of the
-        // same endpoint that answers.
+        // The endpoint has survived recent losses, so a later crash isn't due to them. After a
+        // longer time, the response may come from another incarnation of the endpoint.
         let now_ms = self.now_ms();
-        let mut doubts = self.crashes.doubts.borrow_mut();
-        doubts.retain(|doubt| {
-            let is_other = doubt.run.endpoint.key != endpoint.key;
-            is_other || now_ms - doubt.at_ms > RESTART_MIN_MS
+        let mut unresolved = self.crashes.unresolved.borrow_mut();
+        unresolved.retain(|loss| {
+            let is_other = loss.run.endpoint.key != endpoint.key;
+            is_other || now_ms - loss.at_ms > RESTART_MIN_MS
         });
     }
 
-    /// Has the store keep what is known of a work.
+    /// Writes to the store whether a work is held, with its record.
     fn write_hold(&self, work: WorkKey, is_held: bool) {
         let told = self.crashes.table.borrow().told(work, self.now_ms());
         let write = match told.filter(|_| is_held) {
-            Some(told) => Write::Hold(told),
-            None => Write::LetGo,
+            Some(told) => HoldWrite::Hold(told),
+            None => HoldWrite::LetGo,
         };
         self.published.holds().write(work, write);
     }
 
-    /// Whether an endpoint is known to have ended under some run.
+    /// Whether an endpoint is known to have crashed under some run.
     pub(crate) fn has_crashed(&self, endpoint: &Endpoint) -> bool {
         let incarnation = endpoint.facts.incarnation.hash_64();
         self.crashes.table.borrow().has_ended(incarnation)
     }
 
-    /// An endpoint has ended under a run.
+    /// Records that an endpoint has crashed under a run.
     fn crashed(&self, run: &LostRun, at_ms: f64) {
         if self.crashes.is_crash_loop(&run.endpoint, at_ms) {
             log::info!(
@@ -266,12 +275,12 @@
         let mut table = self.crashes.table.borrow_mut();
         table.crashed(run.work, incarnation, run.reached, at_ms);
         drop(table);
-        self.crashes.seen_here.borrow_mut().insert(run.work);
-        self.tell_turned();
+        self.crashes.witnessed.borrow_mut().insert(run.work);
+        self.apply_verdict_changes();
         self.crashes.urgent.notify_one();
     }
 
-    /// An endpoint has ended that helped with a run whose own endpoint has.
+    /// Records that a helper has crashed together with the endpoint of a run.
     pub(crate) fn crashed_beside(&self, work: WorkKey, helper: &Endpoint, at_ms: f64) {
         let incarnation = helper.facts.incarnation.hash_64();
         let mut table = self.crashes.table.borrow_mut();
@@ -279,7 +288,7 @@
         self.crashes.urgent.notify_one();
     }
 
-    /// A run of a work has made some events; how many is asked only if something is remembered.
+    /// Records the progress of a run of a work; `events` is called only if any work is tracked.
     pub(crate) fn run_reached(&self, work: WorkKey, events: impl FnOnce() -> u32) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
@@ -288,14 +297,14 @@
         }
     }
 
-    /// A run of a work has ended whole.
+    /// Records that a run of a work has completed.
     pub(crate) fn run_ended_whole(&self, work: WorkKey) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
         table.ended_whole(work, now_ms);
     }
 
-    /// A peer tells of crashes.
+    /// Takes the crashes that a peer reports.
     pub(crate) fn hear_crashes(&self, works: &[Told]) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
@@ -303,61 +312,62 @@
             table.hear(told, now_ms);
         }
         drop(table);
-        self.tell_turned();
+        self.apply_verdict_changes();
     }
 
-    /// Somebody has let a work go: an operator, or a gateway at which it ended whole.
+    /// Releases a work: an operator released it, or it completed at another gateway.
     fn lift(&self, work: WorkKey) {
         let now_ms = self.now_ms();
         self.crashes.table.borrow_mut().lift(work, now_ms);
-        self.tell_turned();
+        self.apply_verdict_changes();
     }
 
-    /// A run was lost, and this became of its endpoint.
-    pub(crate) fn run_lost(&self, run: LostRun, fate: Fate, at_ms: f64) {
+    /// Records that a run was lost and what became of its endpoint.
+    pub(crate) fn run_lost(&self, run: LostRun, fate: EndpointFate, at_ms: f64) {
         match fate {
-            Fate::Ended => {
-                let mut doubts = self.crashes.doubts.borrow_mut();
-                doubts.retain(|doubt| !doubt.is_of(&run));
-                drop(doubts);
+            EndpointFate::Ended => {
+                let mut unresolved = self.crashes.unresolved.borrow_mut();
+                unresolved.retain(|loss| !loss.is_of(&run));
+                drop(unresolved);
                 self.crashed(&run, at_ms);
             }
-            Fate::Lives | Fate::Unclear => self.doubt(run, at_ms),
-            Fate::Left => {}
+            EndpointFate::Lives | EndpointFate::Unclear => self.keep_unresolved(run, at_ms),
+            EndpointFate::Left => {}
         }
     }
 
-    /// Whether it isn't known yet if the endpoint of a run has ended.
-    pub(crate) fn is_doubted(&self, run: &LostRun) -> bool {
-        let doubts = self.crashes.doubts.borrow();
-        let mut doubts = doubts.iter();
-        doubts.any(|doubt| doubt.is_of(run))
+    /// Whether it is still unknown if the endpoint of a run has crashed.
+    pub(crate) fn is_unresolved(&self, run: &LostRun) -> bool {
+        let unresolved = self.crashes.unresolved.borrow();
+        let mut unresolved = unresolved.iter();
+        unresolved.any(|loss| loss.is_of(run))
     }
 
-    /// Keeps the last run of a work that broke off at an endpoint.
-    fn doubt(&self, run: LostRun, at_ms: f64) {
-        let mut doubts = self.crashes.doubts.borrow_mut();
-        doubts.retain(|doubt| !doubt.is_of(&run));
-        if doubts.len() < DOUBTS_MAX {
-            doubts.push(Doubt { run, at_ms });
+    /// Keeps a loss as unresolved; it replaces an earlier loss of the same work at the same
+    /// endpoint.
+    fn keep_unresolved(&self, run: LostRun, at_ms: f64) {
+        let mut unresolved = self.crashes.unresolved.borrow_mut();
+        unresolved.retain(|loss| !loss.is_of(&run));
+        if unresolved.len() < UNRESOLVED_MAX {
+            unresolved.push(UnresolvedLoss { run, at_ms });
         }
     }
 
-    /// Ends doubts by what the store says of the endpoints: one that is gone without a word, or has started again, had
-    /// ended under the run.
-    fn resolve_doubts(&self) {
+    /// Resolves losses by the fleet that the store lists. An endpoint that vanished without
+    /// leaving, or has restarted, had crashed under the run.
+    fn resolve_losses(&self) {
         let fleet = self.published.fleet();
         let now_ms = self.now_ms();
         let mut ended = Vec::new();
-        self.crashes.doubts.borrow_mut().retain(|doubt| {
-            let endpoint = &doubt.run.endpoint;
+        self.crashes.unresolved.borrow_mut().retain(|loss| {
+            let endpoint = &loss.run.endpoint;
             match fleet.by_key.get(&endpoint.key) {
                 None => {
-                    ended.push((doubt.run.clone(), doubt.at_ms));
+                    ended.push((loss.run.clone(), loss.at_ms));
                     false
                 }
                 Some(listed) if listed.facts.is_leaving => false,
-                Some(_) => now_ms - doubt.at_ms < ENTRY_MS,
+                Some(_) => now_ms - loss.at_ms < ENTRY_LAPSE_MS,
             }
         });
         for (run, at_ms) in ended {
@@ -370,11 +380,12 @@
         }
     }
 
-    /// Says which works are held now, or let go, and has the store keep those that this gateway saw.
-    fn tell_turned(&self) {
+    /// Logs which works are held or released now, and writes to the store those that this gateway
+    /// witnessed.
+    fn apply_verdict_changes(&self) {
         let turned = self.crashes.table.borrow_mut().take_turned();
         for (work, is_held) in turned {
-            if self.crashes.seen_here.borrow().contains(&work) {
+            if self.crashes.witnessed.borrow().contains(&work) {
                 self.write_hold(work, is_held);
             }
             let table = self.crashes.table.borrow();
@@ -393,49 +404,50 @@
     }
 }
 
-/// Looks at what is in doubt and forgets what is old, until the process ends.
+/// Resolves losses and drops expired state, until the process ends.
 pub(crate) async fn watch(core: Rc<Core>) {
     loop {
-        sleep(LOOK).await;
-        core.resolve_doubts();
+        sleep(CHECK_INTERVAL).await;
+        core.resolve_losses();
         let now_ms = core.now_ms();
         let mut refuse_since_ms = core.crashes.refuse_since_ms.borrow_mut();
-        refuse_since_ms.retain(|_, since_ms| now_ms - *since_ms < ENTRY_MS);
+        refuse_since_ms.retain(|_, since_ms| now_ms - *since_ms < ENTRY_LAPSE_MS);
         drop(refuse_since_ms);
         let endpoints = core.published.fleet().by_key.len();
         let mut table = core.crashes.table.borrow_mut();
         table.know_endpoints(endpoints);
         table.tidy(now_ms);
-        let mut seen_here = core.crashes.seen_here.borrow_mut();
-        seen_here.retain(|work| table.record(*work).is_some());
+        let mut witnessed = core.crashes.witnessed.borrow_mut();
+        witnessed.retain(|work| table.record(*work).is_some());
         core.metrics.held_works.set(table.held().len() as i64);
-        drop((table, seen_here));
-        core.tell_turned();
+        drop((table, witnessed));
+        core.apply_verdict_changes();
     }
 }
 
-/// Takes what the store says is held, until the process ends.
+/// Applies held works read from the store, until the process ends.
 pub(crate) async fn follow_store(core: Rc<Core>) {
     loop {
-        for news in core.published.holds().heard().await {
+        for news in core.published.holds().next_updates().await {
             match news {
-                News::Held(told) => core.hear_crashes(&[told]),
-                News::LetGo(work) => core.lift(work),
+                HoldUpdate::Held(told) => core.hear_crashes(&[told]),
+                HoldUpdate::LetGo(work) => core.lift(work),
             }
         }
     }
 }
 
-/// Writes what is held again whenever the store may have lost it, until the process ends. Whoever saw the crashes does, and the
-/// first for each work, should those have ended since; twice does no harm.
+/// Writes held works again whenever the store may have lost them, until the process ends. The
+/// gateways that witnessed the crashes do so, and for each work the gateway with the first rank, in
+/// case the witnesses have ended. Writing twice does no harm.
 pub(crate) async fn rewrite(core: Rc<Core>) {
     loop {
         core.published.holds().rewrite_wanted().await;
         let held = core.crashes.table.borrow().held().clone();
         let mut written = 0;
         for work in held {
-            let is_seen_here = core.crashes.seen_here.borrow().contains(&work);
-            if is_seen_here || core.is_first_for(work) {
+            let is_witnessed = core.crashes.witnessed.borrow().contains(&work);
+            if is_witnessed || core.is_first_for(work) {
                 core.write_hold(work, true);
                 written += 1;
             }
@@ -444,9 +456,9 @@
     }
 }
 
-/// All present endpoints but the one on which a work may run, the same at each gateway that knows the same fleet;
-/// `tried` are passed over.
-pub(crate) fn closed_to(
+/// All active endpoints but the one on which a work may run. The choice is the same at each gateway
+/// that knows the same fleet; `tried` endpoints are skipped.
+pub(crate) fn barred_endpoints(
     fleet: &Fleet,
     service: &str,
     work: WorkKey,
--- /dev/null
+++ b/crates/mgs-relay/src/read_pause.rs
@@ -0,0 +1,45 @@
+//! Chooses the pause between two reads of the store.
+
+use crate::source::Batch;
+use crate::source::Update;
+
+/// Kind of pause before the next read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum ReadPause {
+    /// No pause.
+    None,
+    /// Waits for more newcomers, to read them together.
+    Gather,
+    /// Waits for more changes, to read them together.
+    GatherAll,
+    /// Spreads full reads by many gateways over time.
+    Spread,
+    /// Gives the store time to recover, or waits until peers report that it is back.
+    Retry,
+}
+
+/// The pause after a batch of changes. `gathers_all` says whether so many gateways read that a
+/// single change must not cause a call by each of them.
+pub(crate) fn pause_after(batch: &Batch, gathers_all: bool) -> ReadPause {
+    match batch.updates.is_empty() {
+        true => ReadPause::None,
+        false if gathers_all => ReadPause::GatherAll,
+        false if has_newcomers_only(batch) => ReadPause::Gather,
+        false => ReadPause::None,
+    }
+}
+
+/// Whether a batch contains only newcomers, which more may follow.
+fn has_newcomers_only(batch: &Batch) -> bool {
+    let is_newcomer = |update: &Update| match update {
+        Update::Endpoint(facts) => !facts.is_leaving,
+        Update::Gateway { .. } => true,
+        Update::Configuration(_)
+        | Update::EndpointGone { .. }
+        | Update::GatewayGone { .. }
+        | Update::Held(_)
+        | Update::LetGo(_)
+        | Update::Unreadable { .. } => false,
+    };
+    batch.updates.iter().all(is_newcomer)
+}
--- a/crates/mgs-relay/src/readiness.rs
+++ b/crates/mgs-relay/src/readiness.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-use crate::connect::describe;
+use crate::connection::describe;
 use crate::core::Core;
 use crate::drain::Phase;
 
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -30,19 +30,19 @@
 use tokio::task::LocalSet;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::budget::Budget;
+use crate::budget::RetryBudget;
 use crate::client;
 use crate::core::Core;
-use crate::crash::Looks;
 use crate::dialect::Dialect;
 use crate::drain::Drain;
 use crate::handover;
 use crate::headcount::Headcount;
-use crate::helpers::Helpers;
+use crate::helper_refusals::HelperRefusals;
+use crate::lost_run::EndpointProbes;
 use crate::metrics::Metrics;
 use crate::peers;
 use crate::quarantine;
-use crate::quarantine::Crashes;
+use crate::quarantine::CrashTracker;
 use crate::readiness;
 use crate::traffic;
 use crate::traffic::Traffic;
@@ -177,11 +177,11 @@
         lengths: RefCell::new(Lengths::default()),
         waiting: RefCell::new(HashMap::new()),
         outliers: Outliers::new(options.outliers),
-        helpers: RefCell::new(Helpers::default()),
+        helpers: RefCell::new(HelperRefusals::default()),
         backpressure: RefCell::new(Table::new(options.backpressure.clone())),
-        budget: RefCell::new(Budget::default()),
-        looks: RefCell::new(Looks::default()),
-        crashes: Crashes::new(options.quarantine.clone()),
+        budget: RefCell::new(RetryBudget::default()),
+        looks: RefCell::new(EndpointProbes::default()),
+        crashes: CrashTracker::new(options.quarantine.clone()),
         metrics,
         traffic: Traffic::default(),
         drain: Drain::new(),
@@ -226,7 +226,7 @@
     stop.await;
     log::info!(open_requests = core.drain.open_requests(); "leaving");
     let drain = core.published.live().drain;
-    core.drain.leave(drain).await;
+    core.drain.drain_requests(drain).await;
     log::info!(open_requests = core.drain.open_requests(); "left");
     Ok(())
 }
--- a/crates/mgs-relay/src/memory.rs
+++ b/crates/mgs-relay/src/reservations.rs
@@ -1,5 +1,5 @@
-//! Memory set aside at engines for one prompt: all of it or none, renewed while the request lasts, given
-//! back when it ends, and forgotten by the engines soon after this process dies.
+//! Memory reserved at engines for one prompt: all of it or none, renewed while the request lasts
+//! and released when it ends. Engines drop it soon after this process dies.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,26 +12,26 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-use crate::connect::Connection;
+use crate::connection::Connection;
 use crate::core::Core;
 use crate::dialect::Reservation;
 use crate::source::Incarnation;
 use crate::view::Fleet;
 
-/// How long an engine keeps memory that isn't renewed, in milliseconds: below the time in which memory
-/// must be free again after its user died.
-const HOLD_MS: u64 = 3_400;
+/// How long an engine keeps a reservation that isn't renewed, in milliseconds; below the time
+/// within which memory must be free again after its user died.
+const RESERVATION_TTL_MS: u64 = 3_400;
 
-/// Time between renewals: two may be lost.
-const RENEW: Duration = Duration::from_millis(1_000);
+/// Interval between renewals; two may be lost.
+const RENEW_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Longest wait for the answer to one call.
-const CALL: Duration = Duration::from_millis(400);
+/// Timeout of one reservation call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// One reservation and where it is.
+/// One reservation and the engine that holds it.
 #[derive(Debug, Clone)]
-struct Place {
-    /// The life of the engine that sets the memory aside.
+struct EngineReservation {
+    /// The incarnation of the engine that holds the reservation.
     incarnation: Incarnation,
     address: SocketAddr,
     reservation: Reservation,
@@ -40,40 +40,40 @@
 /// The reservations of one request.
 pub(crate) struct Reservations {
     core: Rc<Core>,
-    places: Vec<Place>,
+    entries: Vec<EngineReservation>,
     renewal: Option<AbortHandle>,
 }
 
 impl Reservations {
-    /// No memory.
+    /// No reservations.
     pub(crate) fn none(core: &Rc<Core>) -> Self {
         Self {
             core: core.clone(),
-            places: Vec::new(),
+            entries: Vec::new(),
             renewal: None,
         }
     }
 
-    /// Sets memory aside at all of these engines, or at none.
+    /// Reserves memory at all of these engines, or at none.
     pub(crate) async fn take(core: &Rc<Core>, fleet: &Fleet, reserves: &[Reserve]) -> Option<Self> {
         let mut all = Self::none(core);
         let mut calls = Vec::new();
         for reserve in reserves {
             let endpoint = fleet.by_key.get(&reserve.endpoint)?;
-            let place = Place {
+            let entry = EngineReservation {
                 incarnation: endpoint.facts.incarnation.clone(),
                 address: endpoint.facts.address,
                 reservation: Reservation {
                     id: all.next_id(),
                     endpoint_id: endpoint.facts.incarnation.id.clone(),
                     tokens: reserve.tokens,
-                    hold_ms: HOLD_MS,
+                    hold_ms: RESERVATION_TTL_MS,
                 },
             };
-            let request = core.dialect.reserve(&place.reservation);
-            // Given back also if the answer is lost: it may have been set aside.
-            all.places.push(place.clone());
-            calls.push(tokio::task::spawn_local(call(place.address, request)));
+            let request = core.dialect.reserve(&entry.reservation);
+            // Listed before the call, so that it is released even if the response is lost.
+            all.entries.push(entry.clone());
+            calls.push(tokio::task::spawn_local(call(entry.address, request)));
         }
         let mut whole = true;
         for call in calls {
@@ -85,7 +85,7 @@
         if !whole {
             return None;
         }
-        all.keep();
+        all.start_renewal();
         Some(all)
     }
 
@@ -93,30 +93,30 @@
         format!("{:x}-{}", self.core.incarnation, self.core.next_number())
     }
 
-    /// Renews until dropped.
-    fn keep(&mut self) {
+    /// Renews the reservations until dropped.
+    fn start_renewal(&mut self) {
         let core = self.core.clone();
-        let places = self.places.clone();
+        let entries = self.entries.clone();
         let task = tokio::task::spawn_local(async move {
             loop {
-                tokio::time::sleep(RENEW).await;
+                tokio::time::sleep(RENEW_INTERVAL).await;
                 let fleet = core.published.fleet();
-                // An engine that has started again holds nothing of this, and would set memory aside anew, under
-                // the same identifier, for a prompt that is gone.
-                let is_over = |place: &&Place| fleet.has_restarted(&place.incarnation);
-                for place in places.iter().filter(|place| !is_over(place)) {
-                    let request = core.dialect.reserve(&place.reservation);
-                    tokio::task::spawn_local(call(place.address, request));
+                // A restarted engine holds no reservation any more. A renewal would reserve memory
+                // there under the same identifier for a prompt that is gone.
+                let is_over = |entry: &&EngineReservation| fleet.has_restarted(&entry.incarnation);
+                for entry in entries.iter().filter(|entry| !is_over(entry)) {
+                    let request = core.dialect.reserve(&entry.reservation);
+                    tokio::task::spawn_local(call(entry.address, request));
                 }
             }
         });
         self.renewal = Some(task.abort_handle());
     }
 
-    /// Name of the reservation at an engine.
+    /// Identifier of the reservation at an engine.
     pub(crate) fn at(&self, address: SocketAddr) -> Option<String> {
-        let place = self.places.iter().find(|place| place.address == address)?;
-        Some(place.reservation.id.clone())
+        let entry = self.entries.iter().find(|entry| entry.address == address)?;
+        Some(entry.reservation.id.clone())
     }
 }
 
@@ -125,27 +125,27 @@
         if let Some(renewal) = self.renewal.take() {
             renewal.abort();
         }
-        for place in &self.places {
-            let request = self.core.dialect.release(&place.reservation);
-            tokio::task::spawn_local(call(place.address, request));
+        for entry in &self.entries {
+            let request = self.core.dialect.release(&entry.reservation);
+            tokio::task::spawn_local(call(entry.address, request));
         }
     }
 }
 
-/// Makes one call; its status, if there was an answer.
+/// Makes one call; returns its status if there was a response.
 async fn call(address: SocketAddr, request: Request<Bytes>) -> Option<StatusCode> {
     let answer = async {
-        let mut connection = Connection::open(address, CALL).await?;
+        let mut connection = Connection::open(address, CALL_TIMEOUT).await?;
         connection.send(request).await
     };
-    match timeout(CALL, answer).await {
+    match timeout(CALL_TIMEOUT, answer).await {
         Ok(Ok(response)) => Some(response.status()),
         Ok(Err(error)) => {
-            log::info!(endpoint:% = address, error:% = error; "a memory call has no answer");
+            log::info!(endpoint:% = address, error:% = error; "reservation call failed");
             None
         }
         Err(_) => {
-            log::info!(endpoint:% = address; "a memory call timed out");
+            log::info!(endpoint:% = address; "reservation call timed out");
             None
         }
     }
--- a/crates/mgs-relay/src/serve.rs
+++ b/crates/mgs-relay/src/serve.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its answer.
+//! Handles one client request from its head to its response.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -21,49 +21,50 @@
 use tokio::time::timeout_at;
 use tokio::time::Instant;
 
-use crate::answer;
-use crate::answer::Answer;
-use crate::answer::AnswerBody;
+use crate::client_response;
+use crate::client_response::ClientResponse;
+use crate::client_response::ResponseBody;
 use crate::core::Core;
-use crate::dialect::Ask;
+use crate::dialect::ClientRequest;
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::UsableResponse;
 use crate::drain::Phase;
 use crate::drain::RETRY_AFTER_LEAVING_MS;
 use crate::fault::Fault;
 use crate::fault::Refusal;
 use crate::metrics;
-use crate::progress::Progress;
-use crate::pursue::Got;
-use crate::pursue::Pursuit;
+use crate::progress::DispatchProgress;
 use crate::quarantine::Permission;
-use crate::stream::Passing;
+use crate::stream::StreamForwarder;
 use crate::traffic::Carried;
 use crate::view::Configuration;
 use crate::view::Organisation;
 use crate::view::Route;
 
-/// A configuration that wasn't confirmed for this long is too old to refuse a route or a key by it, in
-/// milliseconds: twice the longest time between two readings while the store works.
+/// Age from which an unconfirmed configuration is too old to reject a route or a key by it, in
+/// milliseconds: twice the longest interval between two reads while the store works.
 const CONFIGURATION_FRESH_MS: u64 = 4_000;
 
-/// When a client may come back where this host knows too little, in milliseconds.
-const RETRY_AFTER_UNKNOWING_MS: u64 = 400;
+/// `Retry-After` while this host lacks a sufficiently fresh configuration, in milliseconds.
+const RETRY_AFTER_NO_DATA_MS: u64 = 400;
 
-/// A process is starting for this long, in milliseconds: it has read the store or asked peers by then.
+/// How long a process counts as starting, in milliseconds; it has read the store or asked peers by
+/// then.
 const START_MS: u64 = 1_500;
 
-/// Longest wait of a request for a process that is starting, in milliseconds: the shortest time to an
-/// answer that is on time on the deployments, which would be lost by coming back.
-const START_PATIENCE_MS: u64 = 250;
+/// Longest wait of a request for a process that is starting, in milliseconds: the shortest time to
+/// an answer that is on time on the deployments, which a retry by the client would exceed.
+const START_WAIT_MS: u64 = 250;
 
-/// Least status of an answer that is a failure.
+/// Lowest status code that counts as an error.
 const ERROR_STATUS_MIN: u16 = 400;
 
-/// Counts a request as open while it lives.
-struct Open {
+/// Counts a request as open until dropped.
+struct OpenRequest {
     core: Rc<Core>,
 }
 
-impl Open {
+impl OpenRequest {
     fn begin(core: &Rc<Core>) -> Self {
         core.drain.begin_request();
         core.metrics.open_requests.inc();
@@ -71,32 +72,33 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.core.drain.end_request();
         self.core.metrics.open_requests.dec();
     }
 }
 
-/// Says that the client left, if the request is dropped before its outcome is known.
-struct Watch {
+/// Logs and counts the outcome of a request; reports that the client left if dropped before an
+/// outcome is known.
+struct OutcomeLog {
     core: Rc<Core>,
     request_id: String,
     prompt_tokens: u64,
     size_tokens: u64,
-    /// Names the work among all requests for the same; empty until its body is read.
+    /// The work key, shared by all requests for the same work; empty until the body is read.
     work: String,
-    /// Its route, once it is known.
+    /// The route, once it is known.
     route: Option<Arc<Route>>,
     arrived: Instant,
-    /// Time that it has, in milliseconds; 0 while that isn't known.
+    /// Time allowed for the request, in milliseconds; 0 until it is known.
     timeout_ms: u64,
-    is_told: bool,
+    is_logged: bool,
 }
 
-impl Watch {
-    fn tell(&mut self, outcome: &str, status: u16, detail: &str) {
-        self.is_told = true;
+impl OutcomeLog {
+    fn log_outcome(&mut self, outcome: &str, status: u16, detail: &str) {
+        self.is_logged = true;
         self.core.metrics.requests.inc(outcome);
         self.count_size(outcome, status);
         let route = self.route.as_deref();
@@ -120,7 +122,7 @@
         );
     }
 
-    /// Counts a prompt by its size, unless a stream has begun, which counts itself when it ends.
+    /// Counts a prompt by its size, unless a stream has started, which is counted when it ends.
     fn count_size(&self, outcome: &str, status: u16) {
         let has_begun = outcome == "answered" && status < ERROR_STATUS_MIN;
         if self.prompt_tokens > 0 && !has_begun {
@@ -130,84 +132,98 @@
     }
 }
 
-impl Drop for Watch {
+impl Drop for OutcomeLog {
     fn drop(&mut self) {
-        if !self.is_told {
-            self.tell("client_left", 0, "");
+        if !self.is_logged {
+            self.log_outcome("client_left", 0, "");
         }
     }
 }
 
-/// Answers one request.
+/// Handles one request; every outcome becomes a response.
 pub(crate) async fn serve(
     core: Rc<Core>,
     request: Request<Incoming>,
-) -> Result<Answer, Infallible> {
-    let open = Open::begin(&core);
+) -> Result<ClientResponse, Infallible> {
+    let open_request = OpenRequest::begin(&core);
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let ask = match core.dialect.ask(&head) {
-        Ok(ask) => ask,
+    let client_request = match core.dialect.parse_request(&head) {
+        Ok(client_request) => client_request,
         Err(malformed) => {
-            log::info!(reason:% = malformed; "request not understood");
+            log::info!(reason:% = malformed; "request head can't be parsed");
             core.metrics.requests.inc("refused");
             core.metrics.refusals.inc(Fault::Malformed.name());
             let refusal = Refusal::of(Fault::Malformed);
-            return Ok(answer::refusal(core.dialect.as_ref(), refusal, None));
+            return Ok(client_response::refusal(
+                core.dialect.as_ref(),
+                refusal,
+                None,
+            ));
         }
     };
-    let mut watch = Watch {
+    let mut outcome_log = OutcomeLog {
         core: core.clone(),
-        request_id: ask.request_id.clone(),
-        prompt_tokens: ask.prompt_tokens,
-        size_tokens: ask.size_tokens(),
+        request_id: client_request.request_id.clone(),
+        prompt_tokens: client_request.prompt_tokens,
+        size_tokens: client_request.size_tokens(),
         work: String::new(),
         route: None,
         arrived,
         timeout_ms: 0,
-        is_told: false,
+        is_logged: false,
     };
-    let request_id = ask.request_id.clone();
-    let answered = handle(&core, ask, head, body, &mut watch, open).await;
+    let request_id = client_request.request_id.clone();
+    let answered = handle(
+        &core,
+        client_request,
+        head,
+        body,
+        &mut outcome_log,
+        open_request,
+    )
+    .await;
     let mut answer = match answered {
         Ok(answer) => {
-            watch.tell("answered", answer.status().as_u16(), "");
+            outcome_log.log_outcome("answered", answer.status().as_u16(), "");
             answer
         }
         Err(refusal) => {
             let fault = refusal.fault;
             core.metrics.refusals.inc(fault.name());
-            watch.tell("refused", fault.status().as_u16(), fault.name());
-            answer::refusal(core.dialect.as_ref(), refusal, Some(&request_id))
+            outcome_log.log_outcome("refused", fault.status().as_u16(), fault.name());
+            client_response::refusal(core.dialect.as_ref(), refusal, Some(&request_id))
         }
     };
     if core.drain.phase() != Phase::Serving {
-        answer::close_after(&mut answer);
+        client_response::close_after(&mut answer);
     }
     Ok(answer)
 }
 
 async fn handle(
     core: &Rc<Core>,
-    ask: Ask,
+    client_request: ClientRequest,
     head: request::Parts,
     body: Incoming,
-    watch: &mut Watch,
-    open: Open,
-) -> Result<Answer, Refusal> {
-    let arrived = watch.arrived;
+    outcome_log: &mut OutcomeLog,
+    open_request: OpenRequest,
+) -> Result<ClientResponse, Refusal> {
+    let arrived = outcome_log.arrived;
     if core.drain.phase() == Phase::Ending {
         return Err(Refusal::after(Fault::Leaving, RETRY_AFTER_LEAVING_MS));
     }
     let configuration = known_configuration(core)
         .await
-        .ok_or_else(|| Refusal::after(Fault::NoConfiguration, RETRY_AFTER_UNKNOWING_MS))?;
-    let admitted = admit(core, &configuration, &ask, &head)?;
-    watch.route = Some(admitted.route.clone());
-    let timeout_ms = ask.deadline_ms.map_or(admitted.route.timeout_ms, |d| {
-        d.min(admitted.route.timeout_ms)
-    });
-    watch.timeout_ms = timeout_ms;
+        .ok_or_else(|| Refusal::after(Fault::NoConfiguration, RETRY_AFTER_NO_DATA_MS))?;
+    let admitted = admit(core, &configuration, &client_request, &head)?;
+    outcome_log.route = Some(admitted.route.clone());
+    let timeout_ms = client_request
+        .deadline_ms
+        .map_or(admitted.route.timeout_ms, |d| {
+            d.min(admitted.route.timeout_ms)
+        });
+    outcome_log.timeout_ms = timeout_ms;
     let deadline = arrived + Duration::from_millis(timeout_ms);
     let body = read_body(body, configuration.limits.body_bytes, deadline).await?;
     core.traffic.add(Carried::Requests, body.len());
@@ -216,12 +232,12 @@
         .services
         .get(&service)
         .and_then(|service| service.engine.clone());
-    let work = work(&ask, &head, &body, &admitted, &service);
-    watch.work = work.to_string();
-    let mut pursuit = Pursuit {
+    let work = work(&client_request, &head, &body, &admitted, &service);
+    outcome_log.work = work.to_string();
+    let mut dispatcher = Dispatcher {
         core: core.clone(),
         work,
-        ask,
+        client_request,
         head,
         body,
         route: admitted.route,
@@ -230,22 +246,22 @@
         model,
         arrived,
         deadline,
-        progress: Progress::default(),
+        progress: DispatchProgress::default(),
         permission: Permission::Free,
     };
-    let got = match timeout_at(deadline, pursuit.run(None)).await {
+    let got = match timeout_at(deadline, dispatcher.run(None)).await {
         Ok(got) => got?,
-        Err(_) => return Err(pursuit.timed_out()),
+        Err(_) => return Err(dispatcher.timed_out()),
     };
     let took_ms = arrived.elapsed().as_secs_f64() * 1e3;
-    let length = metrics::length(pursuit.ask.prompt_tokens);
+    let length = metrics::length(dispatcher.client_request.prompt_tokens);
     core.metrics.first_token_ms.observe(length, took_ms);
-    Ok(pass_on(core, pursuit, got, open))
+    Ok(into_response(core, dispatcher, got, open_request))
 }
 
-/// Names what the request is for. The caller is its organisation, whichever of its keys it uses.
+/// Computes the work key. The caller is its organisation, whichever of its API keys it uses.
 fn work(
-    ask: &Ask,
+    client_request: &ClientRequest,
     head: &request::Parts,
     body: &Bytes,
     admitted: &Admitted,
@@ -256,7 +272,7 @@
     let target = head.uri.path_and_query();
     let work = Work {
         service,
-        host: &ask.host,
+        host: &client_request.host,
         method: head.method.as_str(),
         target: target.map_or("", PathAndQuery::as_str),
         caller,
@@ -265,37 +281,45 @@
     work.key()
 }
 
-/// The configuration in force. A process that has just started gets a moment to learn it: when all hosts
-/// start anew at once, the balancer sends them requests before they are ready, and the store answers within
-/// a tenth of a second.
+/// The current configuration. A process that has just started waits a moment for it: when all hosts
+/// start at once, the balancer sends them requests before they are ready, and the store answers
+/// within a tenth of a second.
 async fn known_configuration(core: &Core) -> Option<Arc<Configuration>> {
     if core.published.now_ms() < START_MS {
-        let patience = Duration::from_millis(START_PATIENCE_MS);
-        // Whether all is known or time is up shows below.
+        let patience = Duration::from_millis(START_WAIT_MS);
+        // Whether the configuration arrived or the wait timed out shows in the value returned
+        // below.
         let _ = timeout(patience, core.published.complete()).await;
     }
     core.published.configuration()
 }
 
-fn pass_on(core: &Rc<Core>, pursuit: Pursuit, got: Got, open: Open) -> Answer {
+fn into_response(
+    core: &Rc<Core>,
+    dispatcher: Dispatcher,
+    got: UsableResponse,
+    open_request: OpenRequest,
+) -> ClientResponse {
     match got {
-        Got::Whole(whole) => endpoint_answer(core, &whole.head, answer::whole(whole.body)),
-        Got::Stream(begun) => {
+        UsableResponse::Whole(whole) => {
+            endpoint_answer(core, &whole.head, client_response::whole(whole.body))
+        }
+        UsableResponse::Stream(begun) => {
             let head = begun.head;
-            let (passing, pieces) = Passing::new(pursuit, begun.stream, begun.placed);
+            let (forwarder, chunks) = StreamForwarder::new(dispatcher, begun.stream, begun.placed);
             tokio::task::spawn_local(async move {
-                passing.run().await;
-                drop(open);
+                forwarder.run().await;
+                drop(open_request);
             });
-            endpoint_answer(core, &head, answer::pieces(pieces))
+            endpoint_answer(core, &head, client_response::streamed(chunks))
         }
     }
 }
 
-fn endpoint_answer(core: &Core, head: &response::Parts, body: AnswerBody) -> Answer {
+fn endpoint_answer(core: &Core, head: &response::Parts, body: ResponseBody) -> ClientResponse {
     let mut answer = Response::new(body);
     *answer.status_mut() = head.status;
-    *answer.headers_mut() = core.dialect.answer_fields(&head.headers);
+    *answer.headers_mut() = core.dialect.response_fields(&head.headers);
     answer
 }
 
@@ -304,37 +328,37 @@
     organisation: Option<Arc<Organisation>>,
 }
 
-/// Finds the route and the organisation. What isn't found is refused for good only if the configuration
-/// is fresh: a newer one may have it.
+/// Finds the route and the organisation. A missing one is a permanent error only if the
+/// configuration is fresh, since a newer one may have it.
 fn admit(
     core: &Core,
     configuration: &Configuration,
-    ask: &Ask,
+    client_request: &ClientRequest,
     head: &request::Parts,
 ) -> Result<Admitted, Refusal> {
-    let Some(route) = configuration.route(&ask.host, head.uri.path()) else {
-        return Err(missing(core, Fault::NoRoute));
+    let Some(route) = configuration.route(&client_request.host, head.uri.path()) else {
+        return Err(not_found(core, Fault::NoRoute));
     };
     let mut admitted = Admitted {
         route: route.clone(),
         organisation: None,
     };
-    let key = ask.api_key.as_deref();
+    let key = client_request.api_key.as_deref();
     let known = key.and_then(|key| configuration.organisations.get(key));
     admitted.organisation = known.cloned();
     let needs_key = configuration.needs_keys && !route.is_public;
     if needs_key && known.is_none() {
-        return Err(missing(core, Fault::UnknownKey));
+        return Err(not_found(core, Fault::UnknownKey));
     }
     Ok(admitted)
 }
 
-fn missing(core: &Core, fault: Fault) -> Refusal {
+fn not_found(core: &Core, fault: Fault) -> Refusal {
     let age_ms = core.published.configuration_age_ms();
     if age_ms.is_some_and(|age_ms| age_ms <= CONFIGURATION_FRESH_MS) {
         return Refusal::of(fault);
     }
-    Refusal::after(Fault::StaleConfiguration, RETRY_AFTER_UNKNOWING_MS)
+    Refusal::after(Fault::StaleConfiguration, RETRY_AFTER_NO_DATA_MS)
 }
 
 async fn read_body(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, Refusal> {
@@ -347,13 +371,13 @@
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Refusal::of(Fault::BodyTooLong)),
         Err(error) => {
-            log::info!(error:% = error; "a body can't be read");
+            log::info!(error:% = error; "failed to read a request body");
             Err(Refusal::of(Fault::Malformed))
         }
     }
 }
 
-/// Draws one of the route's services by weight.
+/// Picks one of the route's services at random, by weight.
 fn pick_service(core: &Core, route: &Route) -> String {
     let total: u32 = route.shares.iter().map(|share| share.weight).sum();
     let mut drawn = core.random_below(total);
--- a/crates/mgs-relay/src/shown.rs
+++ b/crates/mgs-relay/src/shown.rs
@@ -1,8 +1,8 @@
 //! What a dispatch shows of its endpoints: remembered for the next ones, and told in a line.
 
-use crate::attempt::Ended;
-use crate::place::Placed;
-use crate::pursue::Pursuit;
+use crate::attempt::DispatchResult;
+use crate::dispatcher::Dispatcher;
+use crate::place::PlacedRequest;
 use crate::view::Endpoint;
 
 /// How a dispatch ended that a helper refused.
@@ -11,29 +11,29 @@
 /// A helper that refuses after this time, in milliseconds, is dead or cut off: the engine had waited for it.
 const STALLED_MS: u64 = 1_000;
 
-impl Pursuit {
+impl Dispatcher {
     /// Remembers what the dispatch shows of its endpoint, and says so.
-    pub(crate) fn note(&self, placed: &Placed, ended: &Ended, took_ms: u64) {
+    pub(crate) fn note(&self, placed: &PlacedRequest, ended: &DispatchResult, took_ms: u64) {
         let core = &self.core;
         let now_ms = core.now_whole_ms();
         let key = placed.endpoint.key;
         let end = match ended {
-            Ended::Whole { head, .. } if head.status.is_server_error() => {
+            DispatchResult::Whole { head, .. } if head.status.is_server_error() => {
                 core.outliers.failed(key, now_ms);
                 "endpoint_error"
             }
-            Ended::Whole { .. } => {
+            DispatchResult::Whole { .. } => {
                 core.endpoint_answered(&placed.endpoint);
                 core.outliers.answered(key);
                 "answered"
             }
-            Ended::Started { .. } => {
+            DispatchResult::Started { .. } => {
                 core.endpoint_answered(&placed.endpoint);
                 core.outliers.answered(key);
                 let sent_ms = now_ms.saturating_sub(took_ms);
                 core.helpers
                     .borrow_mut()
-                    .helped(&placed.helper_keys, sent_ms);
+                    .record_help(&placed.helper_keys, sent_ms);
                 let predicted_ms = placed.first_token_ms as u64;
                 core.outliers
                     .first_token(key, now_ms, predicted_ms, took_ms);
@@ -41,42 +41,42 @@
                 core.metrics.late_by_ms.observe(late_ms as f64);
                 "started"
             }
-            Ended::NotRun {
+            DispatchResult::NotRun {
                 why,
                 is_lost,
                 is_refused,
                 ..
             } => {
                 if *is_refused {
-                    core.refused_connection(key);
+                    core.note_connection_refused(key);
                 }
                 if *is_lost {
                     core.outliers.failed(key, now_ms);
                 }
                 why
             }
-            Ended::Unhelped {
+            DispatchResult::HelperRefused {
                 helper,
                 is_reserved,
             } => {
                 self.note_refusal(helper, *is_reserved, took_ms);
                 HELPER_REFUSED
             }
-            Ended::Unknown { .. } => {
+            DispatchResult::Unknown { .. } => {
                 core.outliers.failed(key, now_ms);
                 "unknown"
             }
         };
         let why = match ended {
-            Ended::Unknown { why, .. } => why.as_str(),
+            DispatchResult::Unknown { why, .. } => why.as_str(),
             _ => end,
         };
         let at_fault = match ended {
-            Ended::Unhelped { helper, .. } => helper.facts.incarnation.id.as_str(),
+            DispatchResult::HelperRefused { helper, .. } => helper.facts.incarnation.id.as_str(),
             _ => "",
         };
         log::info!(
-            request_id = self.ask.request_id,
+            request_id = self.client_request.request_id,
             work:% = self.work,
             endpoint = placed.endpoint.facts.incarnation.id,
             dispatch = self.progress.dispatches,
@@ -91,8 +91,12 @@
     }
 
     /// The same end, told apart if it names a helper of the dispatch as being at fault.
-    pub(crate) fn with_helper_at_fault(&self, placed: &Placed, ended: Ended) -> Ended {
-        let Ended::NotRun {
+    pub(crate) fn with_helper_at_fault(
+        &self,
+        placed: &PlacedRequest,
+        ended: DispatchResult,
+    ) -> DispatchResult {
+        let DispatchResult::NotRun {
             at_fault: Some(address),
             ..
         } = ended
@@ -109,7 +113,7 @@
         };
         let mut asked = placed.helpers.iter();
         let is_reserved = asked.any(|one| one.address == address && one.reservation.is_some());
-        Ended::Unhelped {
+        DispatchResult::HelperRefused {
             helper: helper.clone(),
             is_reserved,
         }
@@ -124,7 +128,7 @@
             core.outliers.failed(helper.key, core.now_whole_ms());
         }
         log::info!(
-            request_id = self.ask.request_id,
+            request_id = self.client_request.request_id,
             endpoint = helper.facts.incarnation.id,
             reason = reason.name(),
             took_ms = took_ms,
--- a/crates/mgs-relay/src/spread.rs
+++ b/crates/mgs-relay/src/spread.rs
@@ -79,12 +79,13 @@
     async fn welcome(&self) {
         let newcomers = self.core.crashes.newcomers.take();
         if !newcomers.is_empty() {
-            self.tell(&self.core.crashes.grave(), &newcomers).await;
+            self.tell(&self.core.crashes.confined_or_held(), &newcomers)
+                .await;
         }
     }
 
     async fn gossip(&self) {
-        let grave = self.core.crashes.grave();
+        let grave = self.core.crashes.confined_or_held();
         let everybody = self.everybody();
         if grave.is_empty() || everybody.is_empty() {
             return;
@@ -94,7 +95,7 @@
     }
 
     async fn tell(&self, works: &[WorkKey], peers: &[SocketAddr]) {
-        let told = self.core.crashes.told(works, self.core.now_ms());
+        let told = self.core.crashes.reports(works, self.core.now_ms());
         for message in messages(self.core.incarnation, told) {
             let carried = Carried::CrashMessages;
             send_to(&self.core, &self.socket, &message, peers, carried).await;
--- a/crates/mgs-relay/src/stream.rs
+++ b/crates/mgs-relay/src/stream.rs
@@ -1,5 +1,5 @@
-//! A stream on its way to the client: whole events as they come, continued at another endpoint where the
-//! route allows it, broken off where it can't be completed.
+//! Forwards a stream to the client: whole events as they arrive, resumed at another endpoint where
+//! the route allows it, and aborted where it can't be completed.
 
 use std::io;
 use std::time::Instant;
@@ -9,35 +9,35 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout_at;
 
-use crate::answer::Piece;
-use crate::attempt::Stream;
-use crate::connect::describe;
-use crate::connect::lost;
-use crate::connect::Lost;
-use crate::crash;
+use crate::attempt::EventStream;
+use crate::client_response::BodyChunk;
+use crate::connection::describe;
+use crate::connection::loss_cause;
+use crate::connection::LossCause;
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::UsableResponse;
+use crate::lost_run;
 use crate::metrics;
-use crate::place::Placed;
-use crate::pursue::Got;
-use crate::pursue::Pursuit;
+use crate::place::PlacedRequest;
 use crate::traffic::Carried;
 
-/// Pieces that wait for a slow client before the endpoint's connection isn't read any more.
-const PIECES_WAITING: usize = 16;
+/// Chunks buffered for a slow client before reading from the endpoint stops.
+const CHUNKS_BUFFERED: usize = 16;
 
 /// How a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum End {
-    /// Complete.
+pub(crate) enum StreamEnd {
+    /// Completely forwarded.
     Whole,
-    /// The client left.
+    /// The client disconnected.
     ClientLeft,
-    /// Its time was up.
+    /// The deadline passed.
     TimedOut,
-    /// The endpoint broke off, and nobody went on.
+    /// The endpoint broke off, and no other one resumed the stream.
     Broken,
 }
 
-impl End {
+impl StreamEnd {
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Whole => "answered",
@@ -48,12 +48,12 @@
     }
 }
 
-/// A stream that is passed on.
-pub(crate) struct Passing {
-    pursuit: Pursuit,
-    stream: Stream,
-    placed: Placed,
-    client: mpsc::Sender<Piece>,
+/// A stream that is being forwarded.
+pub(crate) struct StreamForwarder {
+    dispatcher: Dispatcher,
+    stream: EventStream,
+    placed: PlacedRequest,
+    client: mpsc::Sender<BodyChunk>,
     last_id: Option<String>,
     last_event_at: Instant,
     events: u32,
@@ -62,37 +62,37 @@
     resumes: u32,
 }
 
-/// What became of the attempt to go on elsewhere.
+/// Result of an attempt to resume at another endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Resumed {
-    /// Another endpoint goes on.
+    /// Another endpoint continues the stream.
     GoesOn,
-    /// Another endpoint says that nothing is missing.
+    /// Another endpoint reports that nothing is missing.
     IsWhole,
-    /// Nobody goes on.
+    /// No endpoint continues the stream.
     Not,
 }
 
-/// What one endpoint's part of the stream came to.
-enum Part {
-    Ended(End),
-    BrokeOff(Lost, String),
+/// How one endpoint's part of the stream ended.
+enum PartEnd {
+    Ended(StreamEnd),
+    BrokeOff(LossCause, String),
 }
 
-fn unusable(why: &str) -> Part {
-    Part::BrokeOff(Lost::Unusable, why.to_string())
+fn unusable(why: &str) -> PartEnd {
+    PartEnd::BrokeOff(LossCause::Unusable, why.to_string())
 }
 
-impl Passing {
-    /// Prepares; the receiver is the client's body.
+impl StreamForwarder {
+    /// Creates the forwarder and the receiver that feeds the client's response body.
     pub(crate) fn new(
-        pursuit: Pursuit,
-        stream: Stream,
-        placed: Placed,
-    ) -> (Self, mpsc::Receiver<Piece>) {
-        let (client, body) = mpsc::channel(PIECES_WAITING);
-        let passing = Self {
-            pursuit,
+        dispatcher: Dispatcher,
+        stream: EventStream,
+        placed: PlacedRequest,
+    ) -> (Self, mpsc::Receiver<BodyChunk>) {
+        let (client, body) = mpsc::channel(CHUNKS_BUFFERED);
+        let forwarder = Self {
+            dispatcher,
             stream,
             placed,
             client,
@@ -103,162 +103,172 @@
             longest_pause_ms: 0,
             resumes: 0,
         };
-        (passing, body)
+        (forwarder, body)
     }
 
-    /// Passes the stream on to its end.
-    pub(crate) async fn run(mut self) -> End {
-        let end = self.pass_on().await;
-        if end == End::Whole {
-            self.pursuit.core.run_ended_whole(self.pursuit.work);
+    /// Forwards the stream to its end and records the outcome.
+    pub(crate) async fn run(mut self) -> StreamEnd {
+        let end = self.forward_all().await;
+        if end == StreamEnd::Whole {
+            self.dispatcher.core.run_ended_whole(self.dispatcher.work);
         }
-        if end != End::Whole {
-            self.pursuit.core.metrics.broken.inc(end.name());
+        if end != StreamEnd::Whole {
+            self.dispatcher.core.metrics.broken.inc(end.name());
             let broken = io::Error::other(end.name());
-            // A client that has left takes no error either.
+            // This fails only if the client has disconnected, and then needs no error.
             let _ = self.client.try_send(Err(broken));
         }
-        let size_tokens = self.pursuit.ask.size_tokens();
+        let size_tokens = self.dispatcher.client_request.size_tokens();
         let size = metrics::size(size_tokens);
-        let outcomes = &self.pursuit.core.metrics.outcomes;
+        let outcomes = &self.dispatcher.core.metrics.outcomes;
         outcomes.inc([size, end.name()]);
         log::info!(
-            request_id = self.pursuit.ask.request_id,
+            request_id = self.dispatcher.client_request.request_id,
             endpoint = self.placed.endpoint.facts.incarnation.id,
             outcome = end.name(),
             events = self.events,
             size_tokens = size_tokens,
-            route = self.pursuit.route.name,
+            route = self.dispatcher.route.name,
             first_event_ms = self.first_event_ms,
-            aim_ms = self.pursuit.route.aim_ms,
+            aim_ms = self.dispatcher.route.aim_ms,
             longest_pause_ms = self.longest_pause_ms,
-            pause_limit_ms = self.pursuit.route.pause_ms,
+            pause_limit_ms = self.dispatcher.route.pause_ms,
             silent_ms = self.last_event_at.elapsed().as_millis() as u64,
             resumes = self.resumes,
-            total_ms = self.pursuit.arrived.elapsed().as_millis() as u64;
+            total_ms = self.dispatcher.arrived.elapsed().as_millis() as u64;
             "stream ended"
         );
         end
     }
 
-    async fn pass_on(&mut self) -> End {
+    async fn forward_all(&mut self) -> StreamEnd {
         loop {
-            let (lost, broke_off) = match self.pass_part().await {
-                Part::Ended(end) => return end,
-                Part::BrokeOff(lost, why) => (lost, why),
+            let (lost, broke_off) = match self.forward_part().await {
+                PartEnd::Ended(end) => return end,
+                PartEnd::BrokeOff(lost, why) => (lost, why),
             };
             log::info!(
-                request_id = self.pursuit.ask.request_id,
-                work:% = self.pursuit.work,
+                request_id = self.dispatcher.client_request.request_id,
+                work:% = self.dispatcher.work,
                 endpoint = self.placed.endpoint.facts.incarnation.id,
                 last_event_id = self.last_id.as_deref().unwrap_or(""),
                 why = broke_off;
                 "stream broke off"
             );
-            let run = self.pursuit.lost_run(&self.placed, self.reached());
-            let core = &self.pursuit.core;
-            tokio::task::spawn_local(crash::note(core.clone(), run, lost));
+            let run = self.dispatcher.lost_run(&self.placed, self.reached());
+            let core = &self.dispatcher.core;
+            tokio::task::spawn_local(lost_run::record_lost_run(core.clone(), run, lost));
             core.outliers
                 .failed(self.placed.endpoint.key, core.now_whole_ms());
             match self.resume().await {
                 Resumed::GoesOn => {}
-                Resumed::IsWhole => return End::Whole,
-                Resumed::Not => return End::Broken,
+                Resumed::IsWhole => return StreamEnd::Whole,
+                Resumed::Not => return StreamEnd::Broken,
             }
         }
     }
 
-    async fn pass_part(&mut self) -> Part {
+    async fn forward_part(&mut self) -> PartEnd {
         let first = std::mem::take(&mut self.stream.first);
         if let Some(end) = self.forward(first).await {
-            return Part::Ended(end);
+            return PartEnd::Ended(end);
         }
         loop {
             let frame = tokio::select! {
-                frame = timeout_at(self.pursuit.deadline, self.stream.body.frame()) => frame,
-                () = self.client.closed() => return Part::Ended(End::ClientLeft),
+                frame = timeout_at(self.dispatcher.deadline, self.stream.body.frame()) => frame,
+                () = self.client.closed() => return PartEnd::Ended(StreamEnd::ClientLeft),
             };
             let data = match frame {
-                Err(_) => return Part::Ended(End::TimedOut),
+                Err(_) => return PartEnd::Ended(StreamEnd::TimedOut),
                 Ok(None) if self.stream.events.is_partial() => {
-                    return unusable("ended within an event");
+                    return unusable("the stream ended within an event");
+                }
+                Ok(None) => return PartEnd::Ended(StreamEnd::Whole),
+                Ok(Some(Err(error))) => {
+                    return PartEnd::BrokeOff(loss_cause(&error), describe(&error))
                 }
-                Ok(None) => return Part::Ended(End::Whole),
-                Ok(Some(Err(error))) => return Part::BrokeOff(lost(&error), describe(&error)),
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             };
             let events = self.stream.events.take(&data);
             if self.stream.events.is_excessive() {
-                return unusable("an event without an end");
+                return unusable("an event exceeds the size limit");
             }
             if let Some(end) = self.forward(events).await {
-                return Part::Ended(end);
+                return PartEnd::Ended(end);
             }
         }
     }
 
-    /// Passes whole events on; answers how the stream ended if it can't.
-    async fn forward(&mut self, events: Bytes) -> Option<End> {
+    /// Forwards whole events; returns how the stream ended if it can't go on.
+    async fn forward(&mut self, events: Bytes) -> Option<StreamEnd> {
         if events.is_empty() {
             return None;
         }
         self.last_id = self.stream.events.last_id().map(str::to_string);
-        self.note_pause();
-        let traffic = &self.pursuit.core.traffic;
+        self.record_pause();
+        let traffic = &self.dispatcher.core.traffic;
         traffic.add(Carried::Answers, events.len());
         let sending = self.client.send(Ok(events));
-        match timeout_at(self.pursuit.deadline, sending).await {
+        match timeout_at(self.dispatcher.deadline, sending).await {
             Ok(Ok(())) => None,
-            Ok(Err(_)) => Some(End::ClientLeft),
-            Err(_) => Some(End::TimedOut),
+            Ok(Err(_)) => Some(StreamEnd::ClientLeft),
+            Err(_) => Some(StreamEnd::TimedOut),
         }
     }
 
-    fn note_pause(&mut self) {
+    fn record_pause(&mut self) {
         if self.events > 0 {
             let pause_ms = self.last_event_at.elapsed().as_millis() as u64;
             self.longest_pause_ms = self.longest_pause_ms.max(pause_ms);
-            self.pursuit.core.metrics.pause_ms.observe(pause_ms as f64);
+            self.dispatcher
+                .core
+                .metrics
+                .pause_ms
+                .observe(pause_ms as f64);
         } else {
-            self.first_event_ms = self.pursuit.arrived.elapsed().as_millis() as u64;
+            self.first_event_ms = self.dispatcher.arrived.elapsed().as_millis() as u64;
         }
         self.events += 1;
-        let core = &self.pursuit.core;
-        core.run_reached(self.pursuit.work, || self.reached());
+        let core = &self.dispatcher.core;
+        core.run_reached(self.dispatcher.work, || self.reached());
         let now_ms = core.now_ms();
         let engine = self.placed.endpoint.key;
         core.board.borrow_mut().event(engine, now_ms);
         self.last_event_at = Instant::now();
     }
 
-    /// How far the request has got: the number of the last event, or of portions where events have no numbers.
+    /// Progress of the request: the number of the last event, or the number of forwarded chunks
+    /// where events carry no numbers.
     fn reached(&self) -> u32 {
         let last_id = self.last_id.as_deref();
         let numbered = last_id.and_then(|id| id.parse().ok());
         numbered.unwrap_or(self.events)
     }
 
-    /// Has another endpoint go on after the last event that was passed on.
+    /// Has another endpoint continue after the last forwarded event.
     async fn resume(&mut self) -> Resumed {
         let Some(last_id) = self.last_id.clone() else {
             return Resumed::Not;
         };
         let broken_off = self.placed.endpoint.key;
-        if !self.pursuit.may_resume(broken_off) {
+        if !self.dispatcher.may_resume(broken_off) {
             return Resumed::Not;
         }
-        // Engines hold memory four seconds for a run that is over, and the next one may be queued as long.
-        self.placed.give_back(&self.pursuit.core);
-        let deadline = self.pursuit.deadline;
-        let running = self.pursuit.run(Some(&last_id));
+        // Engines hold the memory of a finished run for four seconds, and the next run may be
+        // queued as long.
+        self.placed.release(&self.dispatcher.core);
+        let deadline = self.dispatcher.deadline;
+        let running = self.dispatcher.run(Some(&last_id));
         let got = tokio::select! {
             got = timeout_at(deadline, running) => got,
             () = self.client.closed() => return Resumed::Not,
         };
         let begun = match got {
-            Ok(Ok(Got::Stream(begun))) => begun,
-            // Nothing came after the last event: only the end had been lost.
-            Ok(Ok(Got::Whole(rest))) if rest.head.status.is_success() => return Resumed::IsWhole,
+            Ok(Ok(UsableResponse::Stream(begun))) => begun,
+            // Nothing followed the last event: only the end of the stream had been lost.
+            Ok(Ok(UsableResponse::Whole(rest))) if rest.head.status.is_success() => {
+                return Resumed::IsWhole
+            }
             _ => return Resumed::Not,
         };
         self.stream = begun.stream;
