--- a/crates/mgs-relay/src/tell.rs
+++ b/crates/mgs-relay/src/tell.rs
@@ -149,7 +149,7 @@
     let told = core
         .helpers
         .borrow_mut()
-        .take_told(is_all, now_ms, confirmed_ms);
+        .take_reports(is_all, now_ms, confirmed_ms);
     let refused_at = |(key, age_ms): (EndpointKey, u64)| {
         Some(RefusedAt {
             endpoint: hash_of(fleet, key)?,
--- a/crates/mgs-relay/src/wait.rs
+++ b/crates/mgs-relay/src/wait.rs
@@ -1,4 +1,4 @@
-//! The wait of a prompt until it is its turn, or until it is refused.
+//! Makes a prompt wait until it is its turn, or until it is refused.
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -27,69 +27,71 @@
 use crate::drain::RETRY_AFTER_LEAVING_MS;
 use crate::fault::Fault;
 use crate::fault::Refusal;
+use crate::place::active_endpoints;
+use crate::place::eligible_endpoints;
+use crate::place::is_on_trial;
 use crate::place::no_endpoint;
-use crate::place::on_trial;
-use crate::place::present;
-use crate::place::usable;
 use crate::place::Prompt;
-use crate::place::Tried;
+use crate::place::TriedEndpoints;
 use crate::place_log;
 use crate::view::Endpoint;
 use crate::view::Fleet;
 
-/// Least time after which a client is asked to come back, in milliseconds: a few answers have ended by
-/// then, and a client that returns sooner only meets the same load.
+/// Least `Retry-After` under load, in milliseconds: some answers have ended by then, and a client
+/// that returns sooner only meets the same load.
 pub(crate) const RETRY_AFTER_MIN_MS: u64 = 150;
 
-/// Most time after which a client is asked to come back, in milliseconds.
+/// Largest `Retry-After` under load, in milliseconds.
 pub(crate) const RETRY_AFTER_MAX_MS: u64 = 3_000;
 
-/// Time between two looks whether it is a prompt's turn.
-const TURN_LOOK: Duration = Duration::from_millis(12);
+/// Interval at which a waiting prompt checks whether it is its turn.
+const TURN_POLL_INTERVAL: Duration = Duration::from_millis(12);
 
-/// Looks after which a prompt that isn't first in line judges its chances anew: choosing engines costs
-/// more than comparing scores, and dozens may wait on a host with a tenth of a core.
-const LOOKS_PER_JUDGEMENT: u32 = 20;
+/// Polls after which a prompt that isn't first in line computes its placement again. Choosing
+/// engines costs more than comparing scores, and dozens may wait on a host with a tenth of a core.
+const POLLS_PER_PLACEMENT: u32 = 20;
 
-/// Short prompts that wait for a spare place and are looked at together: some find one at each look.
-const AHEAD_PER_LOOK: usize = 4;
+/// Short prompts ahead in the wait for a spare place that add one poll interval to the wait: some
+/// of them find a place at each poll.
+const AHEAD_PER_POLL: usize = 4;
 
-/// A prompt whose turn has come.
-pub(crate) struct Turned {
-    /// What is left of its time now.
+/// A prompt that may be sent now.
+pub(crate) struct ReadyPrompt {
+    /// Its need, with the time left now.
     pub(crate) need: Need,
-    /// Where it goes.
+    /// The chosen engines.
     pub(crate) placement: Placement,
-    /// The fleet by which it was placed: one that was read since may lack the engines chosen.
+    /// The fleet that the placement refers to; a newer one may lack the chosen engines.
     pub(crate) fleet: Arc<Fleet>,
     /// How long it waited.
-    pub(crate) waited: Waited,
+    pub(crate) waited: WaitTimes,
 }
 
-/// How long a prompt has waited for its turn.
+/// How long a prompt has waited for its turn, by cause.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Waited {
-    /// While others went before it in its line, in milliseconds.
+pub(crate) struct WaitTimes {
+    /// While others were ahead of it in its line, in milliseconds.
     pub(crate) behind_ms: u64,
-    /// While it was first and its engines weren't done with what was sent before, in milliseconds.
+    /// While it was first and its engines were still busy with earlier prompts, in milliseconds.
     pub(crate) first_ms: u64,
 }
 
-/// Waits until it is the prompt's turn.
-pub(crate) async fn for_turn(
+/// Waits until it is the prompt's turn, or returns a refusal.
+pub(crate) async fn wait_for_turn(
     prompt: &Prompt<'_>,
     band: Option<Band>,
     need: impl Fn() -> Need,
-    tried: &Tried,
-) -> Result<Turned, Refusal> {
+    tried: &TriedEndpoints,
+) -> Result<ReadyPrompt, Refusal> {
     let core = prompt.core;
-    let waiting = Waiting::new(core);
+    let waiting = WaitingEntry::new(core);
     loop {
         let need = need();
         let fleet = core.published.fleet();
         let Placed { placement, scope } = choose_engines(prompt, &fleet, &need, tried)?;
         let turns = &core.options.turns;
-        // Short prompts stand in no line, and a hundred come in a second: what peers count isn't summed for them.
+        // Short prompts have no line, and a hundred arrive per second, so the counts of peers
+        // aren't summed for them.
         let sent_ratio = band.map_or(1.0, |band| core.sent_ratio(band));
         let own = turn::score(&need, &placement, prompt.model, sent_ratio, turns);
         let asked = turn::Waiting {
@@ -106,9 +108,9 @@
         match turn::turn(&asked, turns) {
             Turn::Go if is_short && turn::takes_spare(&asked, turns) => {
                 core.spare.borrow_mut().found(core.now_ms());
-                return Ok(waiting.turned(need, placement, fleet));
+                return Ok(waiting.ready(need, placement, fleet));
             }
-            Turn::Go => return Ok(waiting.turned(need, placement, fleet)),
+            Turn::Go => return Ok(waiting.ready(need, placement, fleet)),
             Turn::Refuse => {
                 let wait_ms = match is_short {
                     true => asked.spare_ms(turns),
@@ -116,14 +118,14 @@
                 };
                 return Err(too_late(prompt, &need, &placement, wait_ms));
             }
-            Turn::Wait if is_given_back(core, &asked) => {
+            Turn::Wait if is_returned_on_drain(core, &asked) => {
                 return Err(Refusal::after(Fault::Leaving, RETRY_AFTER_LEAVING_MS));
             }
             Turn::Wait => {}
         }
         let is_new = match is_short {
-            true => waiting.set_for_spare(),
-            false => waiting.set(own),
+            true => waiting.list_for_spare(),
+            false => waiting.list(own),
         };
         match (is_new, is_short) {
             (true, true) => place_log::waits_for_place(prompt, &asked),
@@ -131,26 +133,26 @@
             (false, _) => {}
         }
         match is_short {
-            true => waiting.until_near().await,
-            false => waiting.until_first(own, scope).await,
+            true => waiting.sleep_until_spare_check().await,
+            false => waiting.sleep_until_first(own, scope).await,
         }
     }
 }
 
-/// Whether this host stops, and what waits wouldn't end before it.
-fn is_given_back(core: &Core, asked: &turn::Waiting<'_>) -> bool {
+/// Whether this host drains, and the waiting prompt wouldn't end before it stops.
+fn is_returned_on_drain(core: &Core, asked: &turn::Waiting<'_>) -> bool {
     let left_ms = core.drain.left_ms();
     left_ms.is_some_and(|left_ms| turn::gives_back(asked, left_ms, &core.options.turns))
 }
 
-/// Lists a prompt among those that wait, until dropped.
-struct Waiting {
+/// Lists a prompt as waiting until dropped.
+struct WaitingEntry {
     core: Rc<Core>,
     number: u64,
-    waited: Cell<Waited>,
+    waited: Cell<WaitTimes>,
 }
 
-impl Waiting {
+impl WaitingEntry {
     fn new(core: &Rc<Core>) -> Self {
         let number = core.next_number();
         Self {
@@ -160,9 +162,9 @@
         }
     }
 
-    fn turned(&self, need: Need, placement: Placement, fleet: Arc<Fleet>) -> Turned {
+    fn ready(&self, need: Need, placement: Placement, fleet: Arc<Fleet>) -> ReadyPrompt {
         let waited = self.waited.get();
-        Turned {
+        ReadyPrompt {
             need,
             placement,
             fleet,
@@ -170,8 +172,8 @@
         }
     }
 
-    /// Lists it with a score; tells whether it wasn't listed before.
-    fn set(&self, score: Score) -> bool {
+    /// Lists the prompt with a score; returns whether it wasn't listed before.
+    fn list(&self, score: Score) -> bool {
         let before = self.core.waiting.borrow_mut().insert(self.number, score);
         if before != Some(score) {
             self.core.board_changed.notify_one();
@@ -179,46 +181,48 @@
         before.is_none()
     }
 
-    /// Lists it among the short prompts that wait for a spare place; tells whether it wasn't listed before.
-    fn set_for_spare(&self) -> bool {
+    /// Lists the prompt among the short ones that wait for a spare place; returns whether it wasn't
+    /// listed before.
+    fn list_for_spare(&self) -> bool {
         self.core.waiting_for_spare.borrow_mut().insert(self.number)
     }
 
-    /// How many short prompts wait for a spare place since before it came.
+    /// Number of short prompts that have waited for a spare place for longer.
     fn ahead(&self) -> usize {
         let waiting = self.core.waiting_for_spare.borrow();
         waiting.range(..self.number).count()
     }
 
-    /// Waits for the next look, the longer the more wait before it.
-    async fn until_near(&self) {
-        let looks = (1 + self.ahead() / AHEAD_PER_LOOK).min(LOOKS_PER_JUDGEMENT as usize);
-        sleep(TURN_LOOK * looks as u32).await;
+    /// Sleeps until the next poll, longer the more prompts are ahead.
+    async fn sleep_until_spare_check(&self) {
+        let polls = (1 + self.ahead() / AHEAD_PER_POLL).min(POLLS_PER_PLACEMENT as usize);
+        sleep(TURN_POLL_INTERVAL * polls as u32).await;
     }
 
-    /// Waits for the next look, or for more of them while others go first.
-    async fn until_first(&self, own: Score, scope: Scope) {
-        for _ in 0..LOOKS_PER_JUDGEMENT {
-            sleep(TURN_LOOK).await;
+    /// Sleeps until the prompt is first in its line, for at most [`POLLS_PER_PLACEMENT`] polls.
+    async fn sleep_until_first(&self, own: Score, scope: Scope) {
+        for _ in 0..POLLS_PER_PLACEMENT {
+            sleep(TURN_POLL_INTERVAL).await;
             let is_first = own <= self.others(scope).in_line_of(own);
-            self.note_look(is_first);
+            self.record_poll(is_first);
             if is_first {
                 return;
             }
         }
     }
 
-    fn note_look(&self, is_first: bool) {
-        let look_ms = TURN_LOOK.as_millis() as u64;
+    fn record_poll(&self, is_first: bool) {
+        let poll_ms = TURN_POLL_INTERVAL.as_millis() as u64;
         let mut waited = self.waited.get();
         match is_first {
-            true => waited.first_ms += look_ms,
-            false => waited.behind_ms += look_ms,
+            true => waited.first_ms += poll_ms,
+            false => waited.behind_ms += poll_ms,
         }
         self.waited.set(waited);
     }
 
-    /// The least scores of the others that wait, here and at peers that wait for the same engines.
+    /// Least scores of the other waiting prompts, here and at peers whose prompts wait for the same
+    /// engines.
     fn others(&self, scope: Scope) -> Firsts {
         let waiting = self.core.waiting.borrow();
         let others = waiting.iter().filter(|(number, _)| **number != self.number);
@@ -231,7 +235,7 @@
     }
 }
 
-/// Gateways that share the engines among which a prompt was judged, this one included.
+/// Gateways that share the engines considered for a prompt, this one included.
 fn gateways(core: &Core, scope: Scope) -> usize {
     match scope {
         Scope::Zone => core.board.borrow().peers_in(core.zone) + 1,
@@ -239,7 +243,7 @@
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingEntry {
     fn drop(&mut self) {
         self.core
             .waiting_for_spare
@@ -256,14 +260,14 @@
     prompt: &Prompt<'_>,
     fleet: &Fleet,
     need: &Need,
-    tried: &Tried,
+    tried: &TriedEndpoints,
 ) -> Result<Placed, Refusal> {
     let core = prompt.core;
     let shut = core.shut();
-    let present = present(core, fleet, prompt.service);
+    let present = active_endpoints(core, fleet, prompt.service);
     let may_help = present.iter().filter(|e| !shut.bars_help(e));
     let may_help: Vec<Arc<Endpoint>> = may_help.cloned().collect();
-    let mut endpoints = usable(core, &may_help, tried);
+    let mut endpoints = eligible_endpoints(core, &may_help, tried);
     if !present.is_empty() && endpoints.iter().all(|e| shut.contains(e)) {
         return Err(shut.refusal(&present, prompt.request_id));
     }
@@ -272,12 +276,12 @@
     let candidate = |endpoint: &Arc<Endpoint>| Candidate {
         key: endpoint.key,
         slowness: core.outliers.slowness(endpoint.key),
-        trial: on_trial(core, endpoint),
+        trial: is_on_trial(core, endpoint),
         helps: !refusing.contains(&endpoint.key),
         leads: !shut.contains(endpoint),
     };
     let all: Vec<Candidate> = endpoints.iter().map(candidate).collect();
-    know_passes(core, &all, prompt.model);
+    register_pass_times(core, &all, prompt.model);
     let field = Field {
         near: &all[..near],
         all: &all,
@@ -293,7 +297,7 @@
     })
 }
 
-/// Those of some endpoints that aren't to be asked to help.
+/// Endpoints among these that shouldn't be asked to help.
 fn refusing_help(core: &Core, endpoints: &[Arc<Endpoint>]) -> HashSet<EndpointKey> {
     let helpers = core.helpers.borrow();
     if helpers.is_empty() {
@@ -303,20 +307,21 @@
     helpers.refusing(&keys, core.now_whole_ms(), core.fleet_confirmed_ms())
 }
 
-/// Puts the endpoints of the own availability zone first, and tells how many they are. They are in the order of all
-/// gateways, and begin with another one each time: gateways that choose at the same moment then take others.
+/// Moves the endpoints of this host's availability zone to the front and returns their number. They
+/// keep the order common to all gateways but start at a random one, so that gateways that choose at
+/// the same moment take different engines.
 fn own_zone_first(core: &Core, endpoints: &mut [Arc<Endpoint>]) -> usize {
     let is_near = |endpoint: &Arc<Endpoint>| endpoint.facts.zone == core.options.zone;
     let first = endpoints.iter().position(is_near).unwrap_or(0);
     endpoints.rotate_left(first);
     let near = endpoints.iter().filter(|e| is_near(e)).count();
-    let turned = core.random_below(near as u32) as usize;
-    endpoints[..near].rotate_left(turned);
+    let offset = core.random_below(near as u32) as usize;
+    endpoints[..near].rotate_left(offset);
     near
 }
 
-/// Engines of one service have passes of one length.
-fn know_passes(core: &Core, candidates: &[Candidate], model: &EngineModel) {
+/// Records the pass duration of the candidates; it is the same for all engines of a service.
+fn register_pass_times(core: &Core, candidates: &[Candidate], model: &EngineModel) {
     let pass_ms = model.bare_pass_ms();
     let mut board = core.board.borrow_mut();
     for candidate in candidates {
@@ -324,7 +329,7 @@
     }
 }
 
-/// It has waited in vain: it can't end in time any more without more harm than it is worth.
+/// Refuses a prompt that can't end in time any more without costing others more than it is worth.
 fn too_late(prompt: &Prompt<'_>, need: &Need, placement: &Placement, backlog_ms: f64) -> Refusal {
     let no_place = NoPlace::TooLate { backlog_ms };
     let refusal = refuse(no_place);
--- a/crates/mgs-relay/tests/budget.rs
+++ b/crates/mgs-relay/tests/budget.rs
@@ -1,22 +1,22 @@
-//! All gateways together stay within the allowance of second tries, whatever each of them knows.
+//! All gateways together stay within the retry allowance, whatever each of them knows.
 //!
-//! What operators saw: all hosts of a large deployment lost power while the store was silent. When they were back,
-//! 1,773 dispatches beyond the first of their request reached the engines within ten seconds, and 1,343 were allowed.
+//! Guards against a fault seen after all hosts of a large deployment had lost power while the store
+//! was unavailable: within ten seconds of the restart, engines got 1,773 retries where 1,343 were
+//! allowed.
 //!
-//! What proved the cause: a hundred gateways had each started anew and known nobody, so that each took itself for
-//! the only one and the whole of the fixed allowance for its own: 276, of which its part was two or three. Their
-//! requests were sent four times within a tenth of a second, to engines that were full of the work of the life
-//! before.
+//! Each of a hundred restarted gateways knew no peers, took itself for the only one and used the
+//! whole fixed allowance of 276 instead of its part of two or three. Requests were sent four times
+//! within a tenth of a second, to engines still full of the work from before the restart.
 
-use mgs_relay::budget::Budget;
 use mgs_relay::budget::Options;
+use mgs_relay::budget::RetryBudget;
 use mgs_relay::headcount::Headcount;
 
 const GATEWAYS: usize = 100;
 
 const SERVICE: &str = "model";
 
-/// As a large deployment declares it.
+/// Settings that a large deployment declares.
 fn options() -> Options {
     Options {
         ratio: 0.2,
@@ -25,16 +25,18 @@
     }
 }
 
-/// Second tries that gateways take within one window, each for as many requests, as far as their budgets allow.
+/// Retries that the gateways' budgets allow within one window, with as many requests for each
+/// gateway.
 fn taken(headcounts: &[Headcount], requests_each: usize) -> usize {
     let options = options();
     let mut taken = 0;
     for headcount in headcounts {
-        let mut budget = Budget::default();
+        let mut budget = RetryBudget::default();
         for request in 0..requests_each {
             let now_ms = request as f64;
-            budget.first(&options, SERVICE, now_ms);
-            let again = |_: &i32| budget.again(&options, SERVICE, now_ms, headcount.sharing());
+            budget.record_request(&options, SERVICE, now_ms);
+            let again =
+                |_: &i32| budget.try_take_retry(&options, SERVICE, now_ms, headcount.sharing());
             taken += (0..3).filter(again).count();
         }
     }
--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -185,7 +185,7 @@
         address: store.clone(),
     };
     published.put_live(plan.live);
-    let tallies = follow::Tallies {
+    let tallies = follow::StoreMetrics {
         bad_rows: metrics.bad_rows.clone(),
         store_calls: metrics.store_calls.clone(),
         store_rollbacks: metrics.store_rollbacks.clone(),
