--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -170,7 +170,7 @@
         table.hear_clock(beacon.clock_ms as f64, now_ms);
         for said in &beacon.advice {
             let told = Told {
-                word: said.word.map(|word| heard_word(&word, now_ms)),
+                word: said.word.map(|word| word_from_peer(&word, now_ms)),
                 sent: said.sent,
                 leaves: said.leaves,
             };
@@ -196,7 +196,7 @@
 }
 
 /// Converts a peer's report of a limit to this process's clock.
-fn heard_word(word: &LimitWord, now_ms: f64) -> Word {
+fn word_from_peer(word: &LimitWord, now_ms: f64) -> Word {
     let per_s = word.per_s_thousandths.map(|per_s| per_s as f64 / 1e3);
     // A limit that was learned while its withdrawal was in transit takes precedence over the
     // withdrawal.
--- a/crates/mgs-relay/src/client.rs
+++ b/crates/mgs-relay/src/client.rs
@@ -85,7 +85,7 @@
         .max_buf_size(limits.head_bytes.max(HEAD_BUFFER_MIN_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    let mut phase = core.drain.watch();
+    let mut phase = core.drain.subscribe();
     core.metrics.open_connections.inc();
     let leaving = phase.wait_for(|phase| *phase == Phase::Ending);
     let ended = tokio::select! {
--- a/crates/mgs-relay/src/client_response.rs
+++ b/crates/mgs-relay/src/client_response.rs
@@ -76,26 +76,26 @@
         refusal.fault.name(),
         refusal.fault
     );
-    let mut answer = Response::new(whole(Bytes::from(text)));
-    *answer.status_mut() = refusal.fault.status();
-    *answer.headers_mut() = dialect.own_fields(request_id);
-    set_header(&mut answer, CONTENT_TYPE, "application/json");
+    let mut response = Response::new(whole(Bytes::from(text)));
+    *response.status_mut() = refusal.fault.status();
+    *response.headers_mut() = dialect.own_fields(request_id);
+    set_header(&mut response, CONTENT_TYPE, "application/json");
     if let Some(after_ms) = refusal.retry_after_ms {
         let after_s = format!("{:.3}", after_ms as f64 / 1e3);
-        set_header(&mut answer, RETRY_AFTER, &after_s);
+        set_header(&mut response, RETRY_AFTER, &after_s);
     }
-    answer
+    response
 }
 
 /// Makes the connection close after this response.
-pub(crate) fn close_after(answer: &mut ClientResponse) {
-    set_header(answer, CONNECTION, "close");
+pub(crate) fn close_after(response: &mut ClientResponse) {
+    set_header(response, CONNECTION, "close");
 }
 
-fn set_header(answer: &mut ClientResponse, name: HeaderName, value: &str) {
+fn set_header(response: &mut ClientResponse, name: HeaderName, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => {
-            answer.headers_mut().insert(name, value);
+            response.headers_mut().insert(name, value);
         }
         Err(error) => log::error!(field:% = name, error:% = error; "header value can't be sent"),
     }
--- a/crates/mgs-relay/src/dispatcher.rs
+++ b/crates/mgs-relay/src/dispatcher.rs
@@ -58,7 +58,7 @@
 
 /// Delay before a request is placed again after its endpoint was shut, so that other requests are
 /// served meanwhile.
-const REPLACE_DELAY: Duration = Duration::from_millis(2);
+const PLACEMENT_RETRY_DELAY: Duration = Duration::from_millis(2);
 
 /// Largest rank that engines accept; the largest rank is served last.
 const RANK_MAX: u8 = 9;
@@ -195,7 +195,7 @@
                 Err(shut) => advice::log_shut(&self.client_request, &placed.endpoint, shut),
             }
             drop(placed);
-            sleep(REPLACE_DELAY).await;
+            sleep(PLACEMENT_RETRY_DELAY).await;
         }
     }
 
@@ -284,7 +284,7 @@
         mut placed: PlacedRequest,
         last_event_id: Option<&str>,
     ) -> Result<UsableResponse, FailedDispatch> {
-        let request = self.request(&placed, last_event_id);
+        let request = self.build_request(&placed, last_event_id);
         let endpoint = placed.endpoint.clone();
         self.progress.dispatches += 1;
         self.progress.in_flight = true;
@@ -304,11 +304,11 @@
             &self.client_request,
             is_streaming,
         );
-        let ended = match self.patience(&placed) {
+        let ended = match self.first_response_timeout(&placed) {
             None => sending.await,
             Some(patience) => timeout(patience, sending)
                 .await
-                .unwrap_or_else(|_| silent()),
+                .unwrap_or_else(|_| silent_result()),
         };
         self.progress.in_flight = false;
         let took_ms = start.elapsed().as_millis() as u64;
@@ -317,7 +317,7 @@
         match ended {
             DispatchResult::Whole { head, body } => self.accept_full(head, body, endpoint.key),
             DispatchResult::Started { head, stream } => {
-                placed.grant.first_token();
+                placed.load_guard.record_first_token();
                 self.progress.runs += 1;
                 Ok(UsableResponse::Stream(Box::new(StartedStream {
                     head,
@@ -369,7 +369,7 @@
         self.progress.runs += 1;
         self.core.traffic.add(Carried::Answers, body.len());
         if head.status.is_success() {
-            self.core.run_ended_whole(self.work);
+            self.core.record_completion(self.work);
         }
         if !head.status.is_server_error() {
             return Ok(UsableResponse::Whole(Box::new(FullResponse { head, body })));
@@ -384,7 +384,7 @@
 
     /// How long to wait for the first response data before another endpoint is tried; `None` if no
     /// other may be.
-    fn patience(&self, placed: &PlacedRequest) -> Option<Duration> {
+    fn first_response_timeout(&self, placed: &PlacedRequest) -> Option<Duration> {
         if !self.is_repeatable_route() || self.progress.runs + 1 >= self.route.attempts_max {
             return None;
         }
@@ -419,7 +419,7 @@
         self.core.may_try_again(&self.service)
     }
 
-    fn request(&self, placed: &PlacedRequest, last_event_id: Option<&str>) -> Request<Bytes> {
+    fn build_request(&self, placed: &PlacedRequest, last_event_id: Option<&str>) -> Request<Bytes> {
         let dispatch = Dispatch {
             endpoint_id: placed.endpoint.facts.incarnation.id.clone(),
             left_ms: self.time_left().as_millis() as u64,
@@ -462,7 +462,7 @@
     }
 }
 
-fn silent() -> DispatchResult {
+fn silent_result() -> DispatchResult {
     DispatchResult::Unknown {
         lost: LossCause::Silent,
         why: "silent".to_string(),
--- a/crates/mgs-relay/src/drain.rs
+++ b/crates/mgs-relay/src/drain.rs
@@ -70,7 +70,7 @@
         Some(left.as_secs_f64() * 1e3)
     }
 
-    pub(crate) fn watch(&self) -> watch::Receiver<Phase> {
+    pub(crate) fn subscribe(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
--- a/crates/mgs-relay/src/helper_refusals.rs
+++ b/crates/mgs-relay/src/helper_refusals.rs
@@ -79,9 +79,9 @@
 /// let mut helpers = HelperRefusals::default();
 /// let engines = [EndpointKey(1), EndpointKey(2)];
 /// helpers.record_refusal(engines[0], RefusalReason::Leaves, 1_000);
-/// assert!(helpers.refusing(&engines, 5_000, Some(900)).contains(&engines[0]));
-/// // The store has been heard long after, and lists it as before.
-/// assert!(helpers.refusing(&engines, 5_000, Some(4_900)).is_empty());
+/// assert!(helpers.refusing_endpoints(&engines, 5_000, Some(900)).contains(&engines[0]));
+/// // A confirmation by the store, long enough after the refusal, cancels it.
+/// assert!(helpers.refusing_endpoints(&engines, 5_000, Some(4_900)).is_empty());
 /// ```
 #[derive(Debug, Default)]
 pub struct HelperRefusals {
@@ -140,17 +140,17 @@
 
     /// Those of the given endpoints that shouldn't be asked for help. `confirmed_ms` is when the
     /// store last confirmed that they are listed and not leaving.
-    pub fn refusing(
+    pub fn refusing_endpoints(
         &self,
         endpoints: &[EndpointKey],
         now_ms: u64,
         confirmed_ms: Option<u64>,
     ) -> HashSet<EndpointKey> {
-        let stands = |endpoint: &EndpointKey| {
+        let in_force = |endpoint: &EndpointKey| {
             let refused = self.refused.get(endpoint)?;
             is_in_force(refused, now_ms, confirmed_ms).then_some((refused.at_ms, *endpoint))
         };
-        let mut standing: Vec<(u64, EndpointKey)> = endpoints.iter().filter_map(stands).collect();
+        let mut standing: Vec<(u64, EndpointKey)> = endpoints.iter().filter_map(in_force).collect();
         let most = (endpoints.len() as f64 * SHARE_MAX) as usize;
         if standing.len() > most {
             standing.sort_by_key(|(at_ms, _)| std::cmp::Reverse(*at_ms));
@@ -193,7 +193,8 @@
 }
 
 fn is_in_force(refused: &RefusalRecord, now_ms: u64, confirmed_ms: Option<u64>) -> bool {
-    let word_ms = refused.at_ms + STORE_CONFIRMATION_MS;
-    let is_taken_back = refused.is_leaving && confirmed_ms.is_some_and(|at_ms| at_ms >= word_ms);
-    now_ms < refused.until_ms && !is_taken_back
+    let cancellable_from_ms = refused.at_ms + STORE_CONFIRMATION_MS;
+    let is_cancelled =
+        refused.is_leaving && confirmed_ms.is_some_and(|at_ms| at_ms >= cancellable_from_ms);
+    now_ms < refused.until_ms && !is_cancelled
 }
--- a/crates/mgs-relay/src/load_guard.rs
+++ b/crates/mgs-relay/src/load_guard.rs
@@ -50,7 +50,7 @@
     /// Records the first token: all parts have been read. If there were several, peers are told at
     /// once, since other prompts wait for free engines. The end of a short prompt can wait for the
     /// next whole message where there are many peers.
-    pub(crate) fn first_token(&mut self) {
+    pub(crate) fn record_first_token(&mut self) {
         self.readers.clear();
         let mut board = self.core.board.borrow_mut();
         let is_part = |held: &Held| held.parts > 0;
--- a/crates/mgs-relay/src/lost_run.rs
+++ b/crates/mgs-relay/src/lost_run.rs
@@ -36,7 +36,7 @@
     /// Its process has ended: nothing listens at its address any more.
     Ended,
     /// It accepts connections.
-    Lives,
+    Alive,
     /// It was leaving or no longer listed, so its end was expected.
     Left,
     /// It can't be determined whether it has ended.
@@ -48,7 +48,7 @@
     fn name(self) -> &'static str {
         match self {
             Self::Ended => "endpoint_ended",
-            Self::Lives => "endpoint_lives",
+            Self::Alive => "endpoint_lives",
             Self::Left => "endpoint_left",
             Self::Unclear => "unclear",
         }
@@ -85,10 +85,10 @@
     );
     if lost == LossCause::BrokenOff {
         let at_ms = core.now_ms();
-        if matches!(fate, EndpointFate::Lives | EndpointFate::Unclear) {
+        if matches!(fate, EndpointFate::Alive | EndpointFate::Unclear) {
             tokio::task::spawn_local(reprobe(core.clone(), run.clone(), at_ms));
         }
-        core.run_lost(run.clone(), fate, at_ms);
+        core.record_loss(run.clone(), fate, at_ms);
         if fate == EndpointFate::Ended {
             tokio::task::spawn_local(probe_helpers(core.clone(), run, at_ms));
         }
@@ -100,7 +100,7 @@
 async fn probe_helpers(core: Rc<Core>, run: LostRun, at_ms: f64) {
     for helper in &run.helpers {
         if self::endpoint_fate(&core, helper).await == EndpointFate::Ended {
-            core.crashed_beside(run.work, helper, at_ms);
+            core.record_helper_crash(run.work, helper, at_ms);
         }
     }
 }
@@ -113,7 +113,7 @@
         if core.is_unresolved(&run)
             && shared_probe(&core, &run.endpoint).await == EndpointFate::Ended
         {
-            core.run_lost(run, EndpointFate::Ended, at_ms);
+            core.record_loss(run, EndpointFate::Ended, at_ms);
             return;
         }
     }
@@ -149,7 +149,7 @@
 
 async fn probe(core: &Core, endpoint: &Endpoint) -> EndpointFate {
     match Connection::open(endpoint.facts.address, PROBE_TIMEOUT).await {
-        Ok(_) => EndpointFate::Lives,
+        Ok(_) => EndpointFate::Alive,
         Err(CallError::Refused(_)) => {
             core.note_connection_refused(endpoint.key);
             EndpointFate::Ended
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -132,7 +132,7 @@
             Ok((Message::Beacon(beacon), _)) => hear(&core, &known, from, &beacon),
             Ok((Message::Crashes { from, works }, _)) => {
                 if from != core.incarnation {
-                    core.hear_crashes(&works);
+                    core.record_peer_crashes(&works);
                 }
             }
             Err(error) => {
--- a/crates/mgs-relay/src/place.rs
+++ b/crates/mgs-relay/src/place.rs
@@ -38,7 +38,7 @@
     pub(crate) endpoint: Arc<Endpoint>,
     pub(crate) helpers: Vec<Helper>,
     pub(crate) helper_keys: Vec<EndpointKey>,
-    pub(crate) grant: LoadGuard,
+    pub(crate) load_guard: LoadGuard,
     /// Kept until the request ends or is dispatched elsewhere.
     pub(crate) reservations: Reservations,
     /// Predicted time to the first token, in milliseconds; 0 without a prediction.
@@ -50,7 +50,7 @@
 impl PlacedRequest {
     /// Releases load and memory once the run that used them is over.
     pub(crate) fn release(&mut self, core: &Rc<Core>) {
-        self.grant = LoadGuard::take(core, Vec::new(), Vec::new(), 0.0);
+        self.load_guard = LoadGuard::take(core, Vec::new(), Vec::new(), 0.0);
         self.reservations = Reservations::none(core);
     }
 
@@ -83,17 +83,17 @@
 ) -> Vec<Arc<Endpoint>> {
     let now_ms = core.now_whole_ms();
     // The entry of a crashed endpoint lapses only seconds later, so refused connections count here.
-    let stands = |endpoint: &Arc<Endpoint>| {
+    let is_healthy = |endpoint: &Arc<Endpoint>| {
         core.outliers.standing(endpoint.key, now_ms) != Standing::Ejected
             && !core.refuses_connections(endpoint.key)
     };
-    let fresh = |endpoint: &Arc<Endpoint>| !tried.contains(&endpoint.key);
-    let best = present.iter().filter(|e| stands(e) && fresh(e));
+    let is_untried = |endpoint: &Arc<Endpoint>| !tried.contains(&endpoint.key);
+    let best = present.iter().filter(|e| is_healthy(e) && is_untried(e));
     let best: Vec<Arc<Endpoint>> = best.cloned().collect();
     if !best.is_empty() {
         return best;
     }
-    let untried: Vec<Arc<Endpoint>> = present.iter().filter(|e| fresh(e)).cloned().collect();
+    let untried: Vec<Arc<Endpoint>> = present.iter().filter(|e| is_untried(e)).cloned().collect();
     if !untried.is_empty() {
         return untried;
     }
@@ -149,12 +149,12 @@
         calls: 1,
         ..Held::default()
     };
-    let grant = LoadGuard::take(core, vec![(endpoint.key, held)], Vec::new(), 0.0);
+    let load_guard = LoadGuard::take(core, vec![(endpoint.key, held)], Vec::new(), 0.0);
     Ok(PlacedRequest {
         endpoint: endpoint.clone(),
         helpers: Vec::new(),
         helper_keys: Vec::new(),
-        grant,
+        load_guard,
         reservations: Reservations::none(core),
         first_token_ms: 0.0,
         hold_ms: 0.0,
@@ -202,13 +202,13 @@
         let turned = wait::wait_for_turn(prompt, band, &need, &avoided).await?;
         place_log::placed(core, prompt.request_id, &turned);
         let (need, placement, fleet) = (turned.need, turned.placement, turned.fleet);
-        let grant = take_load_guard(prompt, &need, &placement);
+        let load_guard = take_load_guard(prompt, &need, &placement);
         if placement.reserves.is_empty() {
             let none = Reservations::none(core);
-            return placed_request(&fleet, placement, grant, none);
+            return placed_request(&fleet, placement, load_guard, none);
         }
-        if let Some(taken) = Reservations::take(core, &fleet, &placement.reserves).await {
-            return placed_request(&fleet, placement, grant, taken);
+        if let Some(taken) = Reservations::reserve_all(core, &fleet, &placement.reserves).await {
+            return placed_request(&fleet, placement, load_guard, taken);
         }
         // An engine that refused has less memory free than the board shows.
         avoided.push(placement.first);
@@ -260,7 +260,7 @@
 fn placed_request(
     fleet: &Fleet,
     placement: Placement,
-    grant: LoadGuard,
+    load_guard: LoadGuard,
     reservations: Reservations,
 ) -> Result<PlacedRequest, Refusal> {
     let address_of = |key: &EndpointKey| fleet.by_key.get(key).map(|e| e.facts.address);
@@ -269,14 +269,14 @@
     let addresses: Vec<SocketAddr> = placement.helpers.iter().filter_map(address_of).collect();
     let helper = |address: SocketAddr| Helper {
         address,
-        reservation: reservations.at(address),
+        reservation: reservations.id_at(address),
     };
     let helpers = addresses.into_iter().map(helper).collect();
     Ok(PlacedRequest {
         endpoint: first.clone(),
         helpers,
         helper_keys: placement.helpers,
-        grant,
+        load_guard,
         reservations,
         first_token_ms: placement.first_token_ms,
         hold_ms: placement.hold_ms,
--- a/crates/mgs-relay/src/place_log.rs
+++ b/crates/mgs-relay/src/place_log.rs
@@ -45,7 +45,7 @@
 /// The resource that engines lack, as log fields.
 #[derive(Debug, Default)]
 struct MissingResource {
-    what: &'static str,
+    resource: &'static str,
     needed_tokens: u64,
     engines_max: usize,
 }
@@ -57,14 +57,14 @@
         };
         match *lack {
             Lack::Place => Self {
-                what: "place",
+                resource: "place",
                 ..Self::default()
             },
             Lack::Memory {
                 needed_tokens,
                 engines_max,
             } => Self {
-                what: "memory",
+                resource: "memory",
                 needed_tokens,
                 engines_max,
             },
@@ -86,7 +86,7 @@
         request_id = prompt.request_id,
         service = prompt.service,
         reason = refusal.fault.name(),
-        lacks = lack.what,
+        lacks = lack.resource,
         needed_tokens = lack.needed_tokens,
         engines_allowed = lack.engines_max,
         retry_after_ms = refusal.retry_after_ms.unwrap_or(0),
--- a/crates/mgs-relay/src/quarantine.rs
+++ b/crates/mgs-relay/src/quarantine.rs
@@ -31,8 +31,8 @@
 use crate::view::Endpoint;
 use crate::view::Fleet;
 
-/// `Retry-After` for a request of a held work, in milliseconds. It is long since nothing will have
-/// changed sooner.
+/// `Retry-After` for a request of a held work, in milliseconds; longer than a client waits, since
+/// nothing will have changed by then.
 const RETRY_AFTER_HELD_MS: u64 = 30_000;
 
 /// Delay between a crash and a retry that might crash the next endpoint. Copies of the same request
@@ -62,7 +62,7 @@
 
 impl UnresolvedLoss {
     /// Whether this is the loss of the same work at the same endpoint.
-    fn is_of(&self, run: &LostRun) -> bool {
+    fn is_same_loss(&self, run: &LostRun) -> bool {
         self.run.work == run.work && self.run.endpoint.key == run.endpoint.key
     }
 }
@@ -74,7 +74,7 @@
 /// The last crash that counts under one identifier.
 #[derive(Debug, Clone, Copy)]
 struct CountedCrash {
-    life: u64,
+    incarnation_hash: u64,
     at_ms: f64,
 }
 
@@ -112,14 +112,17 @@
     /// since a request may repeatedly crash a service with a single endpoint.
     fn is_crash_loop(&self, endpoint: &Endpoint, at_ms: f64) -> bool {
         let incarnation = &endpoint.facts.incarnation;
-        let life = incarnation.hash_64();
+        let incarnation_hash = incarnation.hash_64();
         let mut counted = self.counted.borrow_mut();
         counted.retain(|_, end| at_ms - end.at_ms < CRASH_LOOP_MS);
         let known = counted.get(&incarnation.id);
-        if known.is_some_and(|known| known.life != life) {
+        if known.is_some_and(|known| known.incarnation_hash != incarnation_hash) {
             return true;
         }
-        let end = CountedCrash { life, at_ms };
+        let end = CountedCrash {
+            incarnation_hash,
+            at_ms,
+        };
         counted.entry(incarnation.id.clone()).or_insert(end);
         false
     }
@@ -231,7 +234,7 @@
     }
 
     /// Records that an endpoint has responded.
-    pub(crate) fn endpoint_answered(&self, endpoint: &Endpoint) {
+    pub(crate) fn record_response(&self, endpoint: &Endpoint) {
         let mut refuse_since_ms = self.crashes.refuse_since_ms.borrow_mut();
         refuse_since_ms.remove(&endpoint.key);
         drop(refuse_since_ms);
@@ -262,7 +265,7 @@
     }
 
     /// Records that an endpoint has crashed under a run.
-    fn crashed(&self, run: &LostRun, at_ms: f64) {
+    fn record_crash(&self, run: &LostRun, at_ms: f64) {
         if self.crashes.is_crash_loop(&run.endpoint, at_ms) {
             log::info!(
                 request_id = run.request_id, work:% = run.work,
@@ -281,7 +284,7 @@
     }
 
     /// Records that a helper has crashed together with the endpoint of a run.
-    pub(crate) fn crashed_beside(&self, work: WorkKey, helper: &Endpoint, at_ms: f64) {
+    pub(crate) fn record_helper_crash(&self, work: WorkKey, helper: &Endpoint, at_ms: f64) {
         let incarnation = helper.facts.incarnation.hash_64();
         let mut table = self.crashes.table.borrow_mut();
         table.crashed_beside(work, incarnation, at_ms);
@@ -289,7 +292,7 @@
     }
 
     /// Records the progress of a run of a work; `events` is called only if any work is tracked.
-    pub(crate) fn run_reached(&self, work: WorkKey, events: impl FnOnce() -> u32) {
+    pub(crate) fn record_progress(&self, work: WorkKey, events: impl FnOnce() -> u32) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
         if !table.is_empty() {
@@ -298,14 +301,14 @@
     }
 
     /// Records that a run of a work has completed.
-    pub(crate) fn run_ended_whole(&self, work: WorkKey) {
+    pub(crate) fn record_completion(&self, work: WorkKey) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
         table.ended_whole(work, now_ms);
     }
 
     /// Takes the crashes that a peer reports.
-    pub(crate) fn hear_crashes(&self, works: &[Told]) {
+    pub(crate) fn record_peer_crashes(&self, works: &[Told]) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
         for told in works {
@@ -316,22 +319,22 @@
     }
 
     /// Releases a work: an operator released it, or it completed at another gateway.
-    fn lift(&self, work: WorkKey) {
+    fn release_work(&self, work: WorkKey) {
         let now_ms = self.now_ms();
         self.crashes.table.borrow_mut().lift(work, now_ms);
         self.apply_verdict_changes();
     }
 
     /// Records that a run was lost and what became of its endpoint.
-    pub(crate) fn run_lost(&self, run: LostRun, fate: EndpointFate, at_ms: f64) {
+    pub(crate) fn record_loss(&self, run: LostRun, fate: EndpointFate, at_ms: f64) {
         match fate {
             EndpointFate::Ended => {
                 let mut unresolved = self.crashes.unresolved.borrow_mut();
-                unresolved.retain(|loss| !loss.is_of(&run));
+                unresolved.retain(|loss| !loss.is_same_loss(&run));
                 drop(unresolved);
-                self.crashed(&run, at_ms);
+                self.record_crash(&run, at_ms);
             }
-            EndpointFate::Lives | EndpointFate::Unclear => self.keep_unresolved(run, at_ms),
+            EndpointFate::Alive | EndpointFate::Unclear => self.keep_unresolved(run, at_ms),
             EndpointFate::Left => {}
         }
     }
@@ -340,14 +343,14 @@
     pub(crate) fn is_unresolved(&self, run: &LostRun) -> bool {
         let unresolved = self.crashes.unresolved.borrow();
         let mut unresolved = unresolved.iter();
-        unresolved.any(|loss| loss.is_of(run))
+        unresolved.any(|loss| loss.is_same_loss(run))
     }
 
     /// Keeps a loss as unresolved; it replaces an earlier loss of the same work at the same
     /// endpoint.
     fn keep_unresolved(&self, run: LostRun, at_ms: f64) {
         let mut unresolved = self.crashes.unresolved.borrow_mut();
-        unresolved.retain(|loss| !loss.is_of(&run));
+        unresolved.retain(|loss| !loss.is_same_loss(&run));
         if unresolved.len() < UNRESOLVED_MAX {
             unresolved.push(UnresolvedLoss { run, at_ms });
         }
@@ -376,15 +379,15 @@
                 endpoint = run.endpoint.facts.incarnation.id;
                 "the endpoint of a lost run has ended"
             );
-            self.crashed(&run, at_ms);
+            self.record_crash(&run, at_ms);
         }
     }
 
     /// Logs which works are held or released now, and writes to the store those that this gateway
     /// witnessed.
     fn apply_verdict_changes(&self) {
-        let turned = self.crashes.table.borrow_mut().take_turned();
-        for (work, is_held) in turned {
+        let changed = self.crashes.table.borrow_mut().take_turned();
+        for (work, is_held) in changed {
             if self.crashes.witnessed.borrow().contains(&work) {
                 self.write_hold(work, is_held);
             }
@@ -430,8 +433,8 @@
     loop {
         for news in core.published.holds().next_updates().await {
             match news {
-                HoldUpdate::Held(told) => core.hear_crashes(&[told]),
-                HoldUpdate::LetGo(work) => core.lift(work),
+                HoldUpdate::Held(told) => core.record_peer_crashes(&[told]),
+                HoldUpdate::LetGo(work) => core.release_work(work),
             }
         }
     }
--- a/crates/mgs-relay/src/reservations.rs
+++ b/crates/mgs-relay/src/reservations.rs
@@ -55,7 +55,11 @@
     }
 
     /// Reserves memory at all of these engines, or at none.
-    pub(crate) async fn take(core: &Rc<Core>, fleet: &Fleet, reserves: &[Reserve]) -> Option<Self> {
+    pub(crate) async fn reserve_all(
+        core: &Rc<Core>,
+        fleet: &Fleet,
+        reserves: &[Reserve],
+    ) -> Option<Self> {
         let mut all = Self::none(core);
         let mut calls = Vec::new();
         for reserve in reserves {
@@ -114,7 +118,7 @@
     }
 
     /// Identifier of the reservation at an engine.
-    pub(crate) fn at(&self, address: SocketAddr) -> Option<String> {
+    pub(crate) fn id_at(&self, address: SocketAddr) -> Option<String> {
         let entry = self.entries.iter().find(|entry| entry.address == address)?;
         Some(entry.reservation.id.clone())
     }
--- a/crates/mgs-relay/src/serve.rs
+++ b/crates/mgs-relay/src/serve.rs
@@ -174,7 +174,7 @@
         is_logged: false,
     };
     let request_id = client_request.request_id.clone();
-    let answered = handle(
+    let result = handle(
         &core,
         client_request,
         head,
@@ -183,10 +183,10 @@
         open_request,
     )
     .await;
-    let mut answer = match answered {
-        Ok(answer) => {
-            outcome_log.log_outcome("answered", answer.status().as_u16(), "");
-            answer
+    let mut response = match result {
+        Ok(response) => {
+            outcome_log.log_outcome("answered", response.status().as_u16(), "");
+            response
         }
         Err(refusal) => {
             let fault = refusal.fault;
@@ -196,9 +196,9 @@
         }
     };
     if core.drain.phase() != Phase::Serving {
-        client_response::close_after(&mut answer);
+        client_response::close_after(&mut response);
     }
-    Ok(answer)
+    Ok(response)
 }
 
 async fn handle(
@@ -249,14 +249,14 @@
         progress: DispatchProgress::default(),
         permission: Permission::Free,
     };
-    let got = match timeout_at(deadline, dispatcher.run(None)).await {
-        Ok(got) => got?,
+    let usable = match timeout_at(deadline, dispatcher.run(None)).await {
+        Ok(usable) => usable?,
         Err(_) => return Err(dispatcher.timed_out()),
     };
     let took_ms = arrived.elapsed().as_secs_f64() * 1e3;
     let length = metrics::length(dispatcher.client_request.prompt_tokens);
     core.metrics.first_token_ms.observe(length, took_ms);
-    Ok(into_response(core, dispatcher, got, open_request))
+    Ok(into_response(core, dispatcher, usable, open_request))
 }
 
 /// Computes the work key. The caller is its organisation, whichever of its API keys it uses.
@@ -297,12 +297,12 @@
 fn into_response(
     core: &Rc<Core>,
     dispatcher: Dispatcher,
-    got: UsableResponse,
+    usable: UsableResponse,
     open_request: OpenRequest,
 ) -> ClientResponse {
-    match got {
+    match usable {
         UsableResponse::Whole(whole) => {
-            endpoint_answer(core, &whole.head, client_response::whole(whole.body))
+            forwarded_response(core, &whole.head, client_response::whole(whole.body))
         }
         UsableResponse::Stream(begun) => {
             let head = begun.head;
@@ -311,16 +311,16 @@
                 forwarder.run().await;
                 drop(open_request);
             });
-            endpoint_answer(core, &head, client_response::streamed(chunks))
+            forwarded_response(core, &head, client_response::streamed(chunks))
         }
     }
 }
 
-fn endpoint_answer(core: &Core, head: &response::Parts, body: ResponseBody) -> ClientResponse {
-    let mut answer = Response::new(body);
-    *answer.status_mut() = head.status;
-    *answer.headers_mut() = core.dialect.response_fields(&head.headers);
-    answer
+fn forwarded_response(core: &Core, head: &response::Parts, body: ResponseBody) -> ClientResponse {
+    let mut response = Response::new(body);
+    *response.status_mut() = head.status;
+    *response.headers_mut() = core.dialect.response_fields(&head.headers);
+    response
 }
 
 struct Admitted {
--- a/crates/mgs-relay/src/shown.rs
+++ b/crates/mgs-relay/src/shown.rs
@@ -23,12 +23,12 @@
                 "endpoint_error"
             }
             DispatchResult::Whole { .. } => {
-                core.endpoint_answered(&placed.endpoint);
+                core.record_response(&placed.endpoint);
                 core.outliers.answered(key);
                 "answered"
             }
             DispatchResult::Started { .. } => {
-                core.endpoint_answered(&placed.endpoint);
+                core.record_response(&placed.endpoint);
                 core.outliers.answered(key);
                 let sent_ms = now_ms.saturating_sub(took_ms);
                 core.helpers
--- a/crates/mgs-relay/src/stream.rs
+++ b/crates/mgs-relay/src/stream.rs
@@ -66,11 +66,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Resumed {
     /// Another endpoint continues the stream.
-    GoesOn,
+    Continued,
     /// Another endpoint reports that nothing is missing.
-    IsWhole,
+    AlreadyComplete,
     /// No endpoint continues the stream.
-    Not,
+    Failed,
 }
 
 /// How one endpoint's part of the stream ended.
@@ -110,7 +110,7 @@
     pub(crate) async fn run(mut self) -> StreamEnd {
         let end = self.forward_all().await;
         if end == StreamEnd::Whole {
-            self.dispatcher.core.run_ended_whole(self.dispatcher.work);
+            self.dispatcher.core.record_completion(self.dispatcher.work);
         }
         if end != StreamEnd::Whole {
             self.dispatcher.core.metrics.broken.inc(end.name());
@@ -161,9 +161,9 @@
             core.outliers
                 .failed(self.placed.endpoint.key, core.now_whole_ms());
             match self.resume().await {
-                Resumed::GoesOn => {}
-                Resumed::IsWhole => return StreamEnd::Whole,
-                Resumed::Not => return StreamEnd::Broken,
+                Resumed::Continued => {}
+                Resumed::AlreadyComplete => return StreamEnd::Whole,
+                Resumed::Failed => return StreamEnd::Broken,
             }
         }
     }
@@ -230,7 +230,7 @@
         }
         self.events += 1;
         let core = &self.dispatcher.core;
-        core.run_reached(self.dispatcher.work, || self.reached());
+        core.record_progress(self.dispatcher.work, || self.reached());
         let now_ms = core.now_ms();
         let engine = self.placed.endpoint.key;
         core.board.borrow_mut().event(engine, now_ms);
@@ -248,11 +248,11 @@
     /// Has another endpoint continue after the last forwarded event.
     async fn resume(&mut self) -> Resumed {
         let Some(last_id) = self.last_id.clone() else {
-            return Resumed::Not;
+            return Resumed::Failed;
         };
         let broken_off = self.placed.endpoint.key;
         if !self.dispatcher.may_resume(broken_off) {
-            return Resumed::Not;
+            return Resumed::Failed;
         }
         // Engines hold the memory of a finished run for four seconds, and the next run may be
         // queued as long.
@@ -261,19 +261,19 @@
         let running = self.dispatcher.run(Some(&last_id));
         let got = tokio::select! {
             got = timeout_at(deadline, running) => got,
-            () = self.client.closed() => return Resumed::Not,
+            () = self.client.closed() => return Resumed::Failed,
         };
         let begun = match got {
             Ok(Ok(UsableResponse::Stream(begun))) => begun,
             // Nothing followed the last event: only the end of the stream had been lost.
             Ok(Ok(UsableResponse::Whole(rest))) if rest.head.status.is_success() => {
-                return Resumed::IsWhole
+                return Resumed::AlreadyComplete
             }
-            _ => return Resumed::Not,
+            _ => return Resumed::Failed,
         };
         self.stream = begun.stream;
         self.placed = begun.placed;
         self.resumes += 1;
-        Resumed::GoesOn
+        Resumed::Continued
     }
 }
--- a/crates/mgs-relay/src/wait.rs
+++ b/crates/mgs-relay/src/wait.rs
@@ -116,7 +116,7 @@
                     true => asked.spare_ms(turns),
                     false => placement.backlog_ms,
                 };
-                return Err(too_late(prompt, &need, &placement, wait_ms));
+                return Err(refuse_too_late(prompt, &need, &placement, wait_ms));
             }
             Turn::Wait if is_returned_on_drain(core, &asked) => {
                 return Err(Refusal::after(Fault::Leaving, RETRY_AFTER_LEAVING_MS));
@@ -291,7 +291,7 @@
     let (draw, now_ms) = (core.draw(), core.now_ms());
     let chosen = place(need, &field, &board, prompt.model, options, draw, now_ms);
     chosen.map_err(|no_place| {
-        let refusal = refuse(no_place);
+        let refusal = refusal_for(no_place);
         place_log::not_placed(prompt, need, all.len(), &no_place, &refusal);
         refusal
     })
@@ -304,7 +304,7 @@
         return HashSet::new();
     }
     let keys: Vec<EndpointKey> = endpoints.iter().map(|endpoint| endpoint.key).collect();
-    helpers.refusing(&keys, core.now_whole_ms(), core.fleet_confirmed_ms())
+    helpers.refusing_endpoints(&keys, core.now_whole_ms(), core.fleet_confirmed_ms())
 }
 
 /// Moves the endpoints of this host's availability zone to the front and returns their number. They
@@ -330,14 +330,19 @@
 }
 
 /// Refuses a prompt that can't end in time any more without costing others more than it is worth.
-fn too_late(prompt: &Prompt<'_>, need: &Need, placement: &Placement, backlog_ms: f64) -> Refusal {
+fn refuse_too_late(
+    prompt: &Prompt<'_>,
+    need: &Need,
+    placement: &Placement,
+    backlog_ms: f64,
+) -> Refusal {
     let no_place = NoPlace::TooLate { backlog_ms };
-    let refusal = refuse(no_place);
+    let refusal = refusal_for(no_place);
     place_log::not_placed(prompt, need, placement.scene.engines, &no_place, &refusal);
     refusal
 }
 
-fn refuse(no_place: NoPlace) -> Refusal {
+fn refusal_for(no_place: NoPlace) -> Refusal {
     let after = |backlog_ms: f64| (backlog_ms as u64).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS);
     match no_place {
         NoPlace::NoEndpoint => no_endpoint(),
--- a/crates/mgs-relay/tests/budget.rs
+++ b/crates/mgs-relay/tests/budget.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn gateways_that_all_start_anew_and_know_nobody_stay_within_the_allowance() {
+fn restarted_gateways_without_peers_stay_within_the_allowance() {
     let headcounts = vec![Headcount::default(); GATEWAYS];
     let taken = taken(&headcounts, 20);
     assert!(taken <= allowed(GATEWAYS * 20), "{taken}");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn gateways_that_know_how_many_they_are_may_use_the_fixed_part() {
+fn gateways_that_know_their_count_may_use_the_fixed_part() {
     let mut headcount = Headcount::default();
     headcount.told(GATEWAYS);
     let few_requests = taken(&vec![headcount; GATEWAYS], 1);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_number_that_a_peer_told_gives_way_to_the_stores_list() {
+fn the_stores_list_replaces_a_count_from_a_peer() {
     let mut headcount = Headcount::default();
     headcount.told(40);
     headcount.listed(3);
--- a/crates/mgs-relay/tests/helper_refusals.rs
+++ b/crates/mgs-relay/tests/helper_refusals.rs
@@ -25,9 +25,9 @@
 }
 
 /// Whether the engine that refused at 1,000 ms is still excluded.
-fn stands(helpers: &HelperRefusals, now_ms: u64, confirmed_ms: Option<u64>) -> bool {
+fn is_excluded(helpers: &HelperRefusals, now_ms: u64, confirmed_ms: Option<u64>) -> bool {
     helpers
-        .refusing(&engines(8), now_ms, confirmed_ms)
+        .refusing_endpoints(&engines(8), now_ms, confirmed_ms)
         .contains(&ENGINE)
 }
 
@@ -38,13 +38,13 @@
 #[case::the_store_heard_a_moment_later(1_900, Some(1_800), true)]
 #[case::the_store_heard_long_after(4_000, Some(1_000 + STORE_CONFIRMATION_MS), false)]
 #[case::a_long_outage(11_500, BEFORE_MS, false)]
-fn a_refusal_counts_until_something_goes_before_it(
+fn a_refusal_counts_until_it_expires_or_is_cancelled(
     #[case] now_ms: u64,
     #[case] confirmed_ms: Option<u64>,
     #[case] expected: bool,
 ) {
     assert_eq!(
-        stands(&refused(RefusalReason::Leaves), now_ms, confirmed_ms),
+        is_excluded(&refused(RefusalReason::Leaves), now_ms, confirmed_ms),
         expected
     );
 }
@@ -52,27 +52,27 @@
 #[rstest]
 #[case(RefusalReason::Busy)]
 #[case(RefusalReason::Reservation)]
-fn what_passes_soon_is_forgotten_soon_and_not_told(#[case] reason: RefusalReason) {
+fn short_refusals_expire_soon_and_are_not_reported(#[case] reason: RefusalReason) {
     let mut helpers = refused(reason);
-    assert!(stands(&helpers, 1_100, BEFORE_MS));
-    assert!(!stands(&helpers, 1_500, BEFORE_MS));
+    assert!(is_excluded(&helpers, 1_100, BEFORE_MS));
+    assert!(!is_excluded(&helpers, 1_500, BEFORE_MS));
     assert!(helpers.take_reports(true, 1_100, BEFORE_MS).is_empty());
 }
 
 #[test]
-fn a_prompt_that_was_read_with_its_help_ends_it() {
+fn a_prompt_read_with_its_help_cancels_a_refusal() {
     let mut helpers = refused(RefusalReason::Leaves);
     helpers.record_help(&[ENGINE], 900);
     assert!(
-        stands(&helpers, 1_200, BEFORE_MS),
+        is_excluded(&helpers, 1_200, BEFORE_MS),
         "it was sent before the refusal"
     );
     helpers.record_help(&[ENGINE], 1_100);
-    assert!(!stands(&helpers, 1_200, BEFORE_MS));
+    assert!(!is_excluded(&helpers, 1_200, BEFORE_MS));
 }
 
 #[test]
-fn peers_are_told_once_at_once_and_again_with_all() {
+fn a_refusal_is_reported_once_and_again_with_all() {
     let mut helpers = refused(RefusalReason::Leaves);
     assert_eq!(
         helpers.take_reports(false, 1_010, BEFORE_MS),
@@ -88,15 +88,15 @@
 /// Guards against a refusal that looks newer with each message, because gateways forward it that
 /// only learned of it.
 #[test]
-fn what_a_peer_told_is_not_told_further() {
+fn refusals_learned_from_peers_are_not_forwarded() {
     let mut helpers = HelperRefusals::default();
     helpers.record_peer_refusal(ENGINE, 1_000);
-    assert!(stands(&helpers, 1_200, BEFORE_MS));
+    assert!(is_excluded(&helpers, 1_200, BEFORE_MS));
     assert!(helpers.take_reports(true, 1_200, BEFORE_MS).is_empty());
 }
 
 #[test]
-fn at_most_half_are_passed_over_the_newest_refusals_first() {
+fn at_most_half_are_excluded_newest_refusals_first() {
     let mut helpers = HelperRefusals::default();
     for key in 0..6 {
         helpers.record_refusal(
@@ -105,7 +105,7 @@
             1_000 + u64::from(key),
         );
     }
-    let refusing = helpers.refusing(&engines(8), 1_100, BEFORE_MS);
+    let refusing = helpers.refusing_endpoints(&engines(8), 1_100, BEFORE_MS);
     assert_eq!(refusing.len(), 4);
     assert!(!refusing.contains(&EndpointKey(0)) && !refusing.contains(&EndpointKey(1)));
 }
@@ -127,7 +127,7 @@
         let hear = |told: &[(u32, u64)]| {
             let mut helpers = HelperRefusals::default();
             told.iter().for_each(|(key, at_ms)| helpers.record_peer_refusal(EndpointKey(*key), *at_ms));
-            helpers.refusing(&engines(20), now_ms, None)
+            helpers.refusing_endpoints(&engines(20), now_ms, None)
         };
         assert_eq!(hear(&told), hear(&shuffled));
     }
@@ -135,7 +135,7 @@
     /// Whatever was reported, refused and answered, an engine is asked again once the store has
     /// confirmed it long enough after the last refusal.
     #[test]
-    fn the_store_goes_before_all_that_is_older(
+    fn a_store_confirmation_cancels_older_refusals(
         told in proptest::collection::vec((0u32..6, 1_000u64..9_000), 0..40),
     ) {
         let mut helpers = HelperRefusals::default();
@@ -143,6 +143,6 @@
             helpers.record_refusal(EndpointKey(*key), RefusalReason::Leaves, *at_ms);
         }
         let confirmed_ms = 9_000 + STORE_CONFIRMATION_MS;
-        assert!(helpers.refusing(&engines(20), confirmed_ms, Some(confirmed_ms)).is_empty());
+        assert!(helpers.refusing_endpoints(&engines(20), confirmed_ms, Some(confirmed_ms)).is_empty());
     }
 }
