--- a/crates/mgs-relay/src/helper_refusals.rs
+++ b/crates/mgs-relay/src/helper_refusals.rs
@@ -85,7 +85,7 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct HelperRefusals {
-    refused: HashMap<EndpointKey, RefusalRecord>,
+    refusals: HashMap<EndpointKey, RefusalRecord>,
 }
 
 impl HelperRefusals {
@@ -121,19 +121,19 @@
 
     /// Keeps the refusal that stays valid longest, so that the order of arrival makes no
     /// difference.
-    fn insert_longest(&mut self, endpoint: EndpointKey, refused: RefusalRecord) {
-        let known = self.refused.get(&endpoint);
-        if known.is_none_or(|known| known.until_ms < refused.until_ms) {
-            self.refused.insert(endpoint, refused);
+    fn insert_longest(&mut self, endpoint: EndpointKey, refusal: RefusalRecord) {
+        let known = self.refusals.get(&endpoint);
+        if known.is_none_or(|known| known.until_ms < refusal.until_ms) {
+            self.refusals.insert(endpoint, refusal);
         }
     }
 
     /// Records that endpoints have read parts of a prompt that was sent at `sent_ms`.
     pub fn record_help(&mut self, endpoints: &[EndpointKey], sent_ms: u64) {
         for endpoint in endpoints {
-            let known = self.refused.get(endpoint);
+            let known = self.refusals.get(endpoint);
             if known.is_some_and(|known| known.at_ms <= sent_ms) {
-                self.refused.remove(endpoint);
+                self.refusals.remove(endpoint);
             }
         }
     }
@@ -147,8 +147,8 @@
         confirmed_ms: Option<u64>,
     ) -> HashSet<EndpointKey> {
         let in_force = |endpoint: &EndpointKey| {
-            let refused = self.refused.get(endpoint)?;
-            is_in_force(refused, now_ms, confirmed_ms).then_some((refused.at_ms, *endpoint))
+            let refusal = self.refusals.get(endpoint)?;
+            is_in_force(refusal, now_ms, confirmed_ms).then_some((refusal.at_ms, *endpoint))
         };
         let mut standing: Vec<(u64, EndpointKey)> = endpoints.iter().filter_map(in_force).collect();
         let most = (endpoints.len() as f64 * SHARE_MAX) as usize;
@@ -168,33 +168,33 @@
         now_ms: u64,
         confirmed_ms: Option<u64>,
     ) -> Vec<(EndpointKey, u64)> {
-        let mut told = Vec::new();
-        for (endpoint, refused) in &mut self.refused {
-            let is_due = refused.is_own && refused.is_leaving && (is_all || !refused.is_reported);
-            if is_due && is_in_force(refused, now_ms, confirmed_ms) {
-                refused.is_reported = true;
-                told.push((*endpoint, now_ms.saturating_sub(refused.at_ms)));
+        let mut reports = Vec::new();
+        for (endpoint, refusal) in &mut self.refusals {
+            let is_due = refusal.is_own && refusal.is_leaving && (is_all || !refusal.is_reported);
+            if is_due && is_in_force(refusal, now_ms, confirmed_ms) {
+                refusal.is_reported = true;
+                reports.push((*endpoint, now_ms.saturating_sub(refusal.at_ms)));
             }
         }
-        told.sort_by_key(|(endpoint, age_ms)| (*age_ms, *endpoint));
-        told.truncate(REPORTS_MAX);
-        told
+        reports.sort_by_key(|(endpoint, age_ms)| (*age_ms, *endpoint));
+        reports.truncate(REPORTS_MAX);
+        reports
     }
 
     /// Whether no refusal is recorded.
     pub fn is_empty(&self) -> bool {
-        self.refused.is_empty()
+        self.refusals.is_empty()
     }
 
     /// Drops refusals that have expired.
     pub fn expire(&mut self, now_ms: u64) {
-        self.refused.retain(|_, refused| now_ms < refused.until_ms);
+        self.refusals.retain(|_, refusal| now_ms < refusal.until_ms);
     }
 }
 
-fn is_in_force(refused: &RefusalRecord, now_ms: u64, confirmed_ms: Option<u64>) -> bool {
-    let cancellable_from_ms = refused.at_ms + STORE_CONFIRMATION_MS;
+fn is_in_force(refusal: &RefusalRecord, now_ms: u64, confirmed_ms: Option<u64>) -> bool {
+    let cancellable_from_ms = refusal.at_ms + STORE_CONFIRMATION_MS;
     let is_cancelled =
-        refused.is_leaving && confirmed_ms.is_some_and(|at_ms| at_ms >= cancellable_from_ms);
-    now_ms < refused.until_ms && !is_cancelled
+        refusal.is_leaving && confirmed_ms.is_some_and(|at_ms| at_ms >= cancellable_from_ms);
+    now_ms < refusal.until_ms && !is_cancelled
 }
--- a/crates/mgs-relay/src/load_guard.rs
+++ b/crates/mgs-relay/src/load_guard.rs
@@ -33,9 +33,9 @@
             let reads = reads(&held, readers.len(), *endpoint);
             core.place_read(*endpoint, read_ms, reads);
         }
-        for (endpoint, what) in &held {
-            core.board.borrow_mut().hold(*endpoint, what);
-            core.fresh_held.borrow_mut().push((*endpoint, what.clone()));
+        for (endpoint, load) in &held {
+            core.board.borrow_mut().hold(*endpoint, load);
+            core.fresh_held.borrow_mut().push((*endpoint, load.clone()));
         }
         core.board_changed.notify_one();
         Self {
--- a/crates/mgs-relay/src/lost_run.rs
+++ b/crates/mgs-relay/src/lost_run.rs
@@ -132,8 +132,8 @@
 /// Probes an endpoint once for all callers that ask at the same time.
 async fn shared_probe(core: &Core, endpoint: &Endpoint) -> EndpointFate {
     let pending = {
-        let mut looks = core.looks.borrow_mut();
-        looks.entry(endpoint.key).or_default().clone()
+        let mut probes = core.looks.borrow_mut();
+        probes.entry(endpoint.key).or_default().clone()
     };
     let fate = *pending.get_or_init(|| probe(core, endpoint)).await;
     core.looks.borrow_mut().remove(&endpoint.key);
