--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -23,15 +23,15 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::Notify;
 
-use crate::budget::Budget;
-use crate::crash::Looks;
+use crate::budget::RetryBudget;
 use crate::dialect::Dialect;
 use crate::drain::Drain;
 use crate::gateway_count::GatewayCount;
-use crate::helpers::Helpers;
-use crate::helpers::Reason;
+use crate::helper_refusals::HelperRefusals;
+use crate::helper_refusals::RefusalReason;
+use crate::lost_run::EndpointProbes;
 use crate::metrics::Metrics;
-use crate::quarantine::Crashes;
+use crate::quarantine::CrashTracker;
 use crate::relay::Options;
 use crate::traffic::Traffic;
 use crate::view::Endpoint;
@@ -78,15 +78,15 @@
     /// Failing endpoints that are skipped for a while.
     pub(crate) outliers: Outliers,
     /// Endpoints that refuse to read parts of prompts that other endpoints answer.
-    pub(crate) helpers: RefCell<Helpers>,
+    pub(crate) helpers: RefCell<HelperRefusals>,
     /// Rate limits, pauses and shutdown notices that endpoints ask their senders to observe.
     pub(crate) backpressure: RefCell<Table>,
     /// Budget of retries.
-    pub(crate) budget: RefCell<Budget>,
+    pub(crate) budget: RefCell<RetryBudget>,
     /// Probes in flight that check whether an endpoint's process has ended.
-    pub(crate) looks: RefCell<Looks>,
+    pub(crate) looks: RefCell<EndpointProbes>,
     /// What is known of requests that crash endpoints.
-    pub(crate) crashes: Crashes,
+    pub(crate) crashes: CrashTracker,
     pub(crate) metrics: Metrics,
     pub(crate) traffic: Traffic,
     pub(crate) drain: Drain,
@@ -121,18 +121,18 @@
 
     /// Records that an endpoint refused to read a part of a prompt, and returns the likely reason.
     /// `is_reserved` says whether memory had been reserved at the endpoint for that prompt.
-    pub(crate) fn help_refused(&self, endpoint: &Endpoint, is_reserved: bool) -> Reason {
+    pub(crate) fn help_refused(&self, endpoint: &Endpoint, is_reserved: bool) -> RefusalReason {
         let parts = u32::from(self.board.borrow().held(endpoint.key).parts);
         let reason = match (parts >= endpoint.facts.slots, is_reserved) {
-            (true, _) => Reason::Busy,
-            (false, true) => Reason::Reservation,
-            (false, false) => Reason::Leaves,
+            (true, _) => RefusalReason::Busy,
+            (false, true) => RefusalReason::Reservation,
+            (false, false) => RefusalReason::Leaves,
         };
         self.metrics.help_refusals.inc(reason.name());
         let now_ms = self.now_whole_ms();
         self.helpers
             .borrow_mut()
-            .refused(endpoint.key, reason, now_ms);
+            .record_refusal(endpoint.key, reason, now_ms);
         self.board_changed.notify_one();
         reason
     }
@@ -212,6 +212,6 @@
         let gateways = self.gateways_sharing();
         let live_settings = self.published.live_settings();
         let mut budget = self.budget.borrow_mut();
-        budget.again(&live_settings.budget, service, now_ms, gateways)
+        budget.try_take_retry(&live_settings.budget, service, now_ms, gateways)
     }
 }
--- a/crates/mgs-relay/src/crash_gossip.rs
+++ b/crates/mgs-relay/src/crash_gossip.rs
@@ -82,12 +82,13 @@
     async fn send_to_newcomers(&self) {
         let newcomers = self.core.crashes.newcomers.take();
         if !newcomers.is_empty() {
-            self.send(&self.core.crashes.grave(), &newcomers).await;
+            self.send(&self.core.crashes.confined_or_held(), &newcomers)
+                .await;
         }
     }
 
     async fn send_to_random_peer(&self) {
-        let grave = self.core.crashes.grave();
+        let grave = self.core.crashes.confined_or_held();
         let all_peers = self.all_peers();
         if grave.is_empty() || all_peers.is_empty() {
             return;
@@ -97,7 +98,7 @@
     }
 
     async fn send(&self, works: &[WorkKey], peers: &[SocketAddr]) {
-        let reports = self.core.crashes.told(works, self.core.now_ms());
+        let reports = self.core.crashes.reports(works, self.core.now_ms());
         for message in split_into_messages(self.core.incarnation, reports) {
             let kind = TrafficKind::CrashMessages;
             send_to(&self.core, &self.socket, &message, peers, kind).await;
--- a/crates/mgs-relay/src/follow.rs
+++ b/crates/mgs-relay/src/follow.rs
@@ -22,14 +22,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::bad_rows::BadRows;
-use crate::calls::Calls;
-use crate::calls::Reason;
 use crate::freshness::Freshness;
-use crate::gather;
-use crate::gather::Pause;
-use crate::help;
-use crate::holds::Write;
-use crate::membership::Endpoints;
+use crate::peer_fallback;
+use crate::read_pause;
+use crate::read_pause::ReadPause;
 use crate::source::Batch;
 use crate::source::Revision;
 use crate::source::Source;
@@ -37,9 +33,13 @@
 use crate::source::SourceFactory;
 use crate::source::Topic;
 use crate::source::Update;
+use crate::store_calls::CallReason;
+use crate::store_calls::StoreCalls;
 use crate::view::Published;
 
-pub use crate::calls::Tallies;
+use crate::holds::HoldWrite;
+use crate::membership::Endpoints;
+pub use crate::store_calls::StoreMetrics;
 
 /// Settings of following the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -120,7 +120,7 @@
     options: Options,
     factory: Box<dyn SourceFactory>,
     published: Arc<Published>,
-    tallies: Tallies,
+    tallies: StoreMetrics,
 ) -> std::io::Result<()> {
     let runtime = Builder::new_current_thread()
         .enable_io()
@@ -130,7 +130,7 @@
         let local = LocalSet::new();
         let endpoints = Endpoints::new(options.expiry_grace_ms);
         let endpoints = Rc::new(RefCell::new(endpoints));
-        local.spawn_local(help::run(
+        local.spawn_local(peer_fallback::run(
             options.clone(),
             published.clone(),
             endpoints.clone(),
@@ -149,7 +149,7 @@
         local.spawn_local(write_holds(
             options.clone(),
             published.clone(),
-            Calls::new(Topic::Gateways, tallies.store_calls.clone()),
+            StoreCalls::new(Topic::Gateways, tallies.store_calls.clone()),
             factory.source(),
         ));
         local.spawn_local(follow(follower(Topic::Configuration), factory.source()));
@@ -190,23 +190,23 @@
 async fn write_holds(
     options: Options,
     published: Arc<Published>,
-    calls: Calls,
+    calls: StoreCalls,
     mut source: Box<dyn Source>,
 ) {
     let holds = published.holds();
     loop {
-        for (work, write) in holds.to_write().await {
-            calls.count(Reason::Hold);
+        for (work, write) in holds.next_writes().await {
+            calls.count(CallReason::Hold);
             let written = match &write {
-                Write::Hold(hold) => source.put_hold(hold).await,
-                Write::LetGo => source.remove_hold(work).await,
+                HoldWrite::Hold(hold) => source.put_hold(hold).await,
+                HoldWrite::LetGo => source.remove_hold(work).await,
             };
             match written {
                 Ok(()) => log::info!(work:% = work; "what is held was written"),
                 Err(error) => {
                     log::warn!(work:% = work, error:% = error; "what is held can't be written");
                     sleep(Duration::from_millis(options.retry_ms)).await;
-                    holds.write_if_none(work, write);
+                    holds.requeue_write(work, write);
                 }
             }
         }
@@ -241,7 +241,7 @@
     gateways: HashMap<String, SocketAddr>,
     bad_rows: BadRows,
     rollbacks: Counters,
-    calls: Calls,
+    calls: StoreCalls,
 }
 
 impl Follower {
@@ -250,7 +250,7 @@
         options: Options,
         published: Arc<Published>,
         endpoints: Rc<RefCell<Endpoints>>,
-        tallies: Tallies,
+        tallies: StoreMetrics,
     ) -> Self {
         Self {
             topic,
@@ -266,7 +266,7 @@
             gateways: HashMap::new(),
             bad_rows: BadRows::new(tallies.bad_rows),
             rollbacks: tallies.store_rollbacks,
-            calls: Calls::new(topic, tallies.store_calls),
+            calls: StoreCalls::new(topic, tallies.store_calls),
         }
     }
 
@@ -284,14 +284,14 @@
     /// address.
     async fn register_if_unlisted(&mut self, source: &mut dyn Source) -> Result<(), SourceError> {
         let start_ms = self.published.now_ms();
-        self.calls.count(Reason::Whole);
+        self.calls.count(CallReason::Whole);
         let batch = source.read_all(self.topic).await?;
         self.apply(batch, start_ms);
         let own = self.options.peer_address;
         if self.gateways.get(&self.options.name) == Some(&own) {
             return Ok(());
         }
-        self.calls.count(Reason::Register);
+        self.calls.count(CallReason::Register);
         source.register(&self.options.name, own).await
     }
 
@@ -305,15 +305,15 @@
             self.revision = None;
         }
         let Some(after) = self.revision else {
-            self.calls.count(Reason::Whole);
+            self.calls.count(CallReason::Whole);
             return Some(source.read_all(self.topic).await);
         };
         let wait_ms = self.wait_ms();
         let is_long = wait_ms > self.options.wait_ms;
         self.calls.count(match (wait_ms, is_long) {
-            (0, _) => Reason::Probe,
-            (_, false) => Reason::Wait,
-            (_, true) => Reason::LongWait,
+            (0, _) => CallReason::Probe,
+            (_, false) => CallReason::Wait,
+            (_, true) => CallReason::LongWait,
         });
         let call = source.read_changes(self.topic, after, wait_ms);
         match self.freshness().filter(|_| is_long) {
@@ -374,7 +374,7 @@
     }
 
     /// Records that a long poll was given up.
-    fn note_aborted_wait(&mut self) -> Pause {
+    fn note_aborted_wait(&mut self) -> ReadPause {
         let age_ms = self
             .freshness()
             .and_then(|freshness| freshness.age_ms(self.published.now_ms()));
@@ -383,11 +383,11 @@
             "a call to the store that waits isn't trusted"
         );
         self.wait_was_aborted = true;
-        Pause::None
+        ReadPause::None
     }
 
     /// Applies the result of a read, and returns the pause before the next one.
-    fn handle_read(&mut self, read: Result<Batch, SourceError>, start_ms: u64) -> Pause {
+    fn handle_read(&mut self, read: Result<Batch, SourceError>, start_ms: u64) -> ReadPause {
         match read {
             Ok(batch) => {
                 let pause = self.pause_after(&batch);
@@ -398,26 +398,26 @@
             Err(SourceError::EraChanged { from, to }) => {
                 log::info!(topic = self.topic.name(), from = from, to = to; "the store is in another era");
                 self.revision = None;
-                Pause::Spread
+                ReadPause::Spread
             }
             Err(SourceError::HistoryCompacted) => {
                 log::info!(topic = self.topic.name(); "the store has compacted its history");
                 self.note_store_answered(true);
                 self.revision = None;
-                Pause::None
+                ReadPause::None
             }
             Err(error) => {
                 self.note_store_lost(&error);
-                Pause::Retry
+                ReadPause::Retry
             }
         }
     }
 
     /// The pause after a batch, in which further changes may gather.
-    fn pause_after(&self, batch: &Batch) -> Pause {
+    fn pause_after(&self, batch: &Batch) -> ReadPause {
         match self.revision {
-            None => Pause::None,
-            Some(_) => gather::after(batch, self.is_one_of_many()),
+            None => ReadPause::None,
+            Some(_) => read_pause::pause_after(batch, self.is_one_of_many()),
         }
     }
 
@@ -480,7 +480,7 @@
         if !self.needs_registration {
             return;
         }
-        self.calls.count(Reason::Register);
+        self.calls.count(CallReason::Register);
         let own = self.options.peer_address;
         match source.register(&self.options.name, own).await {
             Ok(()) => self.needs_registration = false,
@@ -500,14 +500,14 @@
         Duration::from_millis(name_hash % self.options.reread_jitter_ms.max(1))
     }
 
-    async fn pause(&self, pause: Pause) {
+    async fn pause(&self, pause: ReadPause) {
         let options = &self.options;
         match pause {
-            Pause::None => {}
-            Pause::Spread => sleep(self.jitter()).await,
-            Pause::Gather => sleep(Duration::from_millis(options.gather_ms)).await,
-            Pause::GatherAll => sleep(Duration::from_millis(options.gather_all_ms)).await,
-            Pause::Retry => {
+            ReadPause::None => {}
+            ReadPause::Spread => sleep(self.jitter()).await,
+            ReadPause::Gather => sleep(Duration::from_millis(options.gather_ms)).await,
+            ReadPause::GatherAll => sleep(Duration::from_millis(options.gather_all_ms)).await,
+            ReadPause::Retry => {
                 sleep(Duration::from_millis(options.retry_ms)).await;
                 if self.published.is_reader() {
                     return;
--- a/crates/mgs-relay/src/follow/apply.rs
+++ b/crates/mgs-relay/src/follow/apply.rs
@@ -7,7 +7,7 @@
 
 use super::Follower;
 use crate::bad_rows::BadRow;
-use crate::holds::News;
+use crate::holds::HoldUpdate;
 use crate::membership::Endpoints;
 use crate::membership::Origin;
 use crate::membership::ENTRY_EXPIRY_MS;
@@ -200,8 +200,8 @@
         let mut news = Vec::new();
         for update in updates {
             match update {
-                Update::Held(report) => news.push(News::Held(report)),
-                Update::LetGo(work) => news.push(News::LetGo(work)),
+                Update::Held(report) => news.push(HoldUpdate::Held(report)),
+                Update::LetGo(work) => news.push(HoldUpdate::LetGo(work)),
                 Update::Gateway { name, address } => {
                     self.gateways.insert(name, address);
                 }
@@ -211,7 +211,7 @@
                 _ => {}
             }
         }
-        self.published.holds().say(news);
+        self.published.holds().publish(news);
         let own = self.options.peer_address;
         let mut peers: Vec<SocketAddr> = self.gateways.values().copied().collect();
         peers.extend(&self.options.seed_peers);
--- a/crates/mgs-relay/src/peer_snapshot.rs
+++ b/crates/mgs-relay/src/peer_snapshot.rs
@@ -1,5 +1,5 @@
 //! Sends all that this gateway knows of the store to peers that connect, and fetches the same from
-//! peers (see [`crate::help`]).
+//! peers (see [`crate::peer_fallback`]).
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -147,7 +147,7 @@
             Ok((Message::Beacon(beacon), _)) => handle_beacon(&core, &peer_table, from, &beacon),
             Ok((Message::Crashes { from, works }, _)) => {
                 if from != core.incarnation {
-                    core.hear_crashes(&works);
+                    core.record_peer_crashes(&works);
                 }
             }
             Err(error) => {
@@ -216,7 +216,7 @@
         if let Some(key) = key_of(refused.endpoint) {
             let age_ms = u64::from(refused.age_ms) + TRANSIT_MS;
             let at_ms = core.now_whole_ms().saturating_sub(age_ms);
-            core.helpers.borrow_mut().told(key, at_ms);
+            core.helpers.borrow_mut().record_peer_refusal(key, at_ms);
         }
     }
     if !beacon.is_whole {
