--- a/crates/mgs-placing/src/crowd.rs
+++ b/crates/mgs-placing/src/concurrent_choices.rs
@@ -12,11 +12,11 @@
 
 /// Others that choose at the same moment, as far as they can be told.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Crowd {
+pub struct ConcurrentChoices {
     /// Prompts that others may have placed since they were last heard, on average.
-    pub unseen: f64,
+    pub unseen_placements: f64,
     /// What the choice costs more for each of them on the same engine, in units.
-    pub step_units: f64,
+    pub collision_units: f64,
     /// A number from 0 up to 1, drawn for this choice; 0 takes the best engine.
     pub draw: f64,
 }
@@ -24,34 +24,34 @@
 /// Which of the engines whose losses are these is taken; `None` if there are none.
 ///
 /// ```
-/// use mgs_placing::crowd::pick;
-/// use mgs_placing::crowd::Crowd;
+/// use mgs_placing::concurrent_choices::pick_engine;
+/// use mgs_placing::concurrent_choices::ConcurrentChoices;
 ///
 /// let losses = [0.5, 0.1, 0.12];
-/// let alone = Crowd { unseen: 0.0, step_units: 0.1, draw: 0.9 };
-/// assert_eq!(pick(&losses, &alone), Some(1));
+/// let alone = ConcurrentChoices { unseen_placements: 0.0, collision_units: 0.1, draw: 0.9 };
+/// assert_eq!(pick_engine(&losses, &alone), Some(1));
 ///
-/// let crowd = Crowd { unseen: 4.0, ..alone };
-/// assert_eq!(pick(&losses, &crowd), Some(2));
-/// assert_eq!(pick(&losses, &Crowd { draw: 0.2, ..crowd }), Some(1));
+/// let others = ConcurrentChoices { unseen_placements: 4.0, ..alone };
+/// assert_eq!(pick_engine(&losses, &others), Some(2));
+/// assert_eq!(pick_engine(&losses, &ConcurrentChoices { draw: 0.2, ..others }), Some(1));
 /// ```
-pub fn pick(losses: &[f64], crowd: &Crowd) -> Option<usize> {
+pub fn pick_engine(losses: &[f64], others: &ConcurrentChoices) -> Option<usize> {
     let mut order: Vec<usize> = (0..losses.len()).collect();
     order.sort_by(|a, b| losses[*a].total_cmp(&losses[*b]));
     let best = *order.first()?;
-    let poured = crowd.unseen * crowd.step_units;
-    if poured <= 0.0 {
+    let spread_units = others.unseen_placements * others.collision_units;
+    if spread_units <= 0.0 {
         return Some(best);
     }
     let sorted: Vec<f64> = order.iter().map(|index| losses[*index]).collect();
-    let level = level(&sorted, poured);
-    let mut left = crowd.draw * poured;
+    let water_level = water_level(&sorted, spread_units);
+    let mut left = others.draw * spread_units;
     for (index, loss) in order.iter().zip(&sorted) {
-        left -= level - loss;
+        left -= water_level - loss;
         if left < 0.0 {
             return Some(*index);
         }
-        if *loss >= level {
+        if *loss >= water_level {
             break;
         }
     }
@@ -59,15 +59,15 @@
 }
 
 /// The loss to which the least of some losses rise, all to the same, if `poured` is spread over them.
-fn level(sorted: &[f64], poured: f64) -> f64 {
+fn water_level(sorted: &[f64], spread_units: f64) -> f64 {
     let mut sum = 0.0;
-    let mut level = f64::INFINITY;
+    let mut water_level = f64::INFINITY;
     for (count, loss) in sorted.iter().enumerate() {
-        if *loss >= level {
+        if *loss >= water_level {
             break;
         }
         sum += loss;
-        level = (sum + poured) / (count + 1) as f64;
+        water_level = (sum + spread_units) / (count + 1) as f64;
     }
-    level
+    water_level
 }
--- a/crates/mgs-placing/src/turn.rs
+++ b/crates/mgs-placing/src/dispatch.rs
@@ -7,23 +7,23 @@
 //! sent before, and of those that wait, the one goes first that is worth most for its reading. One that
 //! can't be on time any more lets the others pass, until its deadline forces it.
 
-use crate::figure::apply;
-use crate::figure::Figure;
-use crate::lengths::Band;
-use crate::line::Firsts;
-use crate::line::Score;
-use crate::line::NOBODY;
-use crate::line::TOO_LATE;
+use crate::length_counts::LengthBand;
 use crate::model::EngineModel;
 use crate::need::Need;
-use crate::way::Placement;
+use crate::placement::Placement;
+use crate::queue_order::QueueHeads;
+use crate::queue_order::Score;
+use crate::queue_order::LATE_BASE;
+use crate::queue_order::NONE_WAITING;
+use crate::setting_text::apply_settings;
+use crate::setting_text::Setting;
 
 /// Least share of a score that is left however seldom prompts of its length are sent.
 const SCORE_LEAST_SHARE: f64 = 0.02;
 
 /// Settings of the order among long prompts.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Options {
+pub struct DispatchOptions {
     /// A prompt whose part is read in less than this doesn't wait, in milliseconds: overtaking delays
     /// others by less than a pass of an engine that writes.
     pub overtake_ms: f64,
@@ -65,7 +65,7 @@
     pub late_worth_share: f64,
 }
 
-impl Default for Options {
+impl Default for DispatchOptions {
     fn default() -> Self {
         Self {
             overtake_ms: 60.0,
@@ -88,37 +88,37 @@
     }
 }
 
-impl Options {
+impl DispatchOptions {
     /// Sets the figures of `text`, as in `write_factor=3,overtake_ms=40`.
     ///
     /// ```
-    /// use mgs_placing::turn::Options;
+    /// use mgs_placing::dispatch::DispatchOptions;
     ///
-    /// let options = Options::default().with("write_factor=3").unwrap();
+    /// let options = DispatchOptions::default().with("write_factor=3").unwrap();
     /// assert_eq!(options.write_factor, 3.0);
     /// ```
     pub fn with(self, text: &str) -> Result<Self, String> {
-        apply(self, text, Self::set)
+        apply_settings(self, text, Self::set)
     }
 
-    fn set(&mut self, figure: &Figure) -> bool {
-        match figure.name.as_str() {
-            "overtake_ms" => self.overtake_ms = figure.value,
-            "start_backlog_ms" => self.start_backlog_ms = figure.value,
-            "room_engines" => self.room_engines = figure.value as usize,
-            "short_work_ms" => self.short_work_ms = figure.value,
-            "idle_share" => self.idle_share = figure.value,
-            "last_share" => self.last_share = figure.value,
-            "last_engines" => self.last_engines = figure.value,
-            "plenty_engines" => self.plenty_engines = figure.value as usize,
-            "write_factor" => self.write_factor = figure.value,
-            "spare_from_share" => self.spare_from_share = figure.value,
-            "spare_margin_share" => self.spare_margin_share = figure.value,
-            "spare_least_share" => self.spare_least_share = figure.value,
-            "margin_factor" => self.margin_factor = figure.value,
-            "sent_least_ratio" => self.sent_least_ratio = figure.value,
-            "sent_power" => self.sent_power = figure.value,
-            "late_worth_share" => self.late_worth_share = figure.value,
+    fn set(&mut self, setting: &Setting) -> bool {
+        match setting.name.as_str() {
+            "overtake_ms" => self.overtake_ms = setting.value,
+            "start_backlog_ms" => self.start_backlog_ms = setting.value,
+            "room_engines" => self.room_engines = setting.value as usize,
+            "short_work_ms" => self.short_work_ms = setting.value,
+            "idle_share" => self.idle_share = setting.value,
+            "last_share" => self.last_share = setting.value,
+            "last_engines" => self.last_engines = setting.value,
+            "plenty_engines" => self.plenty_engines = setting.value as usize,
+            "write_factor" => self.write_factor = setting.value,
+            "spare_from_share" => self.spare_from_share = setting.value,
+            "spare_margin_share" => self.spare_margin_share = setting.value,
+            "spare_least_share" => self.spare_least_share = setting.value,
+            "margin_factor" => self.margin_factor = setting.value,
+            "sent_least_ratio" => self.sent_least_ratio = setting.value,
+            "sent_power" => self.sent_power = setting.value,
+            "late_worth_share" => self.late_worth_share = setting.value,
             _ => return false,
         }
         true
@@ -127,9 +127,9 @@
 
 /// What a prompt is to do now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum DispatchDecision {
     /// Be sent.
-    Go,
+    Dispatch,
     /// Wait and ask again.
     Wait,
     /// Be refused: it can't end in time any more without more harm than it is worth.
@@ -137,9 +137,13 @@
 }
 
 /// The band of lengths in which a prompt counts, if reading it takes so long that it may have to wait for its turn.
-pub fn band(need: &Need, model: &EngineModel, options: &Options) -> Option<Band> {
-    let is_long = model.read_ms(need.prompt_tokens) > options.short_work_ms;
-    is_long.then(|| Band::of(need.prompt_tokens, need.full_aim_ms))
+pub fn length_band(
+    need: &Need,
+    model: &EngineModel,
+    options: &DispatchOptions,
+) -> Option<LengthBand> {
+    let is_long = model.prefill_ms(need.prompt_tokens) > options.short_work_ms;
+    is_long.then(|| LengthBand::of(need.prompt_tokens, need.ttft_target_ms))
 }
 
 /// The score of a prompt: milliseconds of reading on one engine for a unit of worth while it can be on time, less
@@ -149,21 +153,21 @@
     placement: &Placement,
     model: &EngineModel,
     sent_ratio: f64,
-    options: &Options,
+    options: &DispatchOptions,
 ) -> Score {
-    if placement.first_token_ms > need.aim_ms {
-        return Score(TOO_LATE.saturating_add(need.left_ms.max(0.0) as u32));
+    if placement.first_token_ms > need.ttft_left_ms {
+        return Score(LATE_BASE.saturating_add(need.deadline_left_ms.max(0.0) as u32));
     }
-    let work_ms = model.read_ms(need.prompt_tokens);
-    let per_unit_ms = work_ms / need.units(model).max(f64::MIN_POSITIVE);
+    let single_engine_ms = model.prefill_ms(need.prompt_tokens);
+    let per_unit_ms = single_engine_ms / need.worth_units(model).max(f64::MIN_POSITIVE);
     let behind = (sent_ratio / options.sent_least_ratio).min(1.0);
     let score_ms = per_unit_ms * behind.powf(options.sent_power).max(SCORE_LEAST_SHARE);
-    Score((score_ms as u32).min(TOO_LATE - 1))
+    Score((score_ms as u32).min(LATE_BASE - 1))
 }
 
 /// A prompt that may have to wait.
 #[derive(Debug, Clone, Copy)]
-pub struct Waiting<'a> {
+pub struct WaitingPrompt<'a> {
     /// What it asks for.
     pub need: &'a Need,
     /// Where it would go now.
@@ -171,9 +175,9 @@
     /// Figures of its engines.
     pub model: &'a EngineModel,
     /// Its score.
-    pub own: Score,
+    pub score: Score,
     /// The least scores of the others that wait, here and at peers.
-    pub others: Firsts,
+    pub others: QueueHeads,
     /// Short prompts that wait here for a spare place since before it did.
     pub ahead: usize,
     /// Spare places that such prompts found here in a second of late.
@@ -182,111 +186,116 @@
     pub gateways: usize,
 }
 
-impl Waiting<'_> {
+impl WaitingPrompt<'_> {
     /// Its reading on one engine, in milliseconds.
-    fn work_ms(&self) -> f64 {
-        self.model.read_ms(self.need.prompt_tokens)
+    fn single_engine_ms(&self) -> f64 {
+        self.model.prefill_ms(self.need.prompt_tokens)
     }
 
     /// Time that its answer takes to be written on an engine half full, in milliseconds.
-    fn answer_ms(&self) -> f64 {
-        let passes = self.model.passes(self.need.expected_tokens);
+    fn decode_ms(&self) -> f64 {
+        let passes = self.model.passes_for(self.need.expected_tokens);
         passes as f64 * self.model.usual_pass_ms()
     }
 
     /// Whether its reading delays nobody much, so that it needs no turn.
-    pub fn is_short(&self, options: &Options) -> bool {
-        self.work_ms() <= options.short_work_ms || self.placement.read_ms <= options.overtake_ms
+    pub fn is_short(&self, options: &DispatchOptions) -> bool {
+        self.single_engine_ms() <= options.short_work_ms
+            || self.placement.prefill_ms <= options.overtake_ms
     }
 
     /// Time until those that wait for a spare place before it have found one, in milliseconds: as many find
     /// one in a second as of late, and no fewer than a part of the places that fall free on full engines.
-    pub fn spare_ms(&self, options: &Options) -> f64 {
-        let places = self.placement.scene.engines as f64 * f64::from(self.model.slots);
-        let free_per_ms = places / self.answer_ms() / self.gateways.max(1) as f64;
+    pub fn spare_slot_wait_ms(&self, options: &DispatchOptions) -> f64 {
+        let places = self.placement.snapshot.engines as f64 * f64::from(self.model.slots);
+        let free_per_ms = places / self.decode_ms() / self.gateways.max(1) as f64;
         let least_per_ms = free_per_ms * options.spare_least_share;
         self.ahead as f64 / least_per_ms.max(self.spare_per_s / 1e3)
     }
 
-    fn engines(&self) -> usize {
+    fn engine_count(&self) -> usize {
         self.placement.helpers.len() + 1
     }
 
     /// The least score of the others in its line.
     pub fn best_other(&self) -> Score {
-        self.others.in_line_of(self.own)
+        self.others.head_for(self.score)
     }
 
     /// Whether it is first in line and its engines are done with what was sent before.
-    fn is_first(&self, options: &Options) -> bool {
-        self.own <= self.best_other() && self.placement.backlog_ms <= options.start_backlog_ms
+    fn is_next(&self, options: &DispatchOptions) -> bool {
+        self.score <= self.best_other() && self.placement.backlog_ms <= options.start_backlog_ms
     }
 
     /// Time until its answer is written if it is sent now, in milliseconds.
-    fn end_ms(&self, options: &Options) -> f64 {
+    fn end_ms(&self, options: &DispatchOptions) -> f64 {
         let reading_ms = self.placement.first_token_ms * options.margin_factor;
-        reading_ms + self.answer_ms() * options.write_factor
+        reading_ms + self.decode_ms() * options.write_factor
     }
 
     /// Whether it would still end in time if it were sent now.
-    fn ends_in_time(&self, options: &Options) -> bool {
-        self.end_ms(options) <= self.need.left_ms
+    fn ends_in_time(&self, options: &DispatchOptions) -> bool {
+        self.end_ms(options) <= self.need.deadline_left_ms
     }
 }
 
 /// Whether a prompt that waits at a host that stops is given back to its client: if it were sent now, it wouldn't be
 /// answered before the host cuts what is open. Until then it has the same chance here as anywhere, and its client, which may come
 /// back once or twice only, keeps that.
-pub fn gives_back(waiting: &Waiting<'_>, host_left_ms: f64, options: &Options) -> bool {
+pub fn should_return_to_client(
+    waiting: &WaitingPrompt<'_>,
+    host_left_ms: f64,
+    options: &DispatchOptions,
+) -> bool {
     waiting.end_ms(options) > host_left_ms
 }
 
 /// Whether a prompt is sent now.
-pub fn turn(waiting: &Waiting<'_>, options: &Options) -> Turn {
+pub fn decide(waiting: &WaitingPrompt<'_>, options: &DispatchOptions) -> DispatchDecision {
     let placement = waiting.placement;
     if waiting.is_short(options) {
-        return short_turn(waiting, options);
+        return decide_short(waiting, options);
     }
     if placement.is_late {
-        return late_turn(waiting, options);
+        return decide_late(waiting, options);
     }
-    if must_go(waiting, options) {
-        return Turn::Go;
+    if is_last_chance(waiting, options) {
+        return DispatchDecision::Dispatch;
     }
-    let plenty = waiting.engines() + options.plenty_engines;
-    let is_plenty = placement.scene.without_reading >= plenty;
+    let plenty = waiting.engine_count() + options.plenty_engines;
+    let is_plenty = placement.snapshot.without_reading >= plenty;
     if is_plenty && placement.backlog_ms <= options.start_backlog_ms {
-        return Turn::Go;
+        return DispatchDecision::Dispatch;
     }
-    let has_room = placement.scene.room >= options.room_engines;
-    if has_room && waiting.is_first(options) {
-        return Turn::Go;
+    let has_room = placement.snapshot.engines_for_long >= options.room_engines;
+    if has_room && waiting.is_next(options) {
+        return DispatchDecision::Dispatch;
     }
-    Turn::Wait
+    DispatchDecision::Wait
 }
 
 /// Whether a short prompt that is sent now takes a place that others can do without.
-pub fn takes_spare(waiting: &Waiting<'_>, options: &Options) -> bool {
+pub fn needs_spare_slot(waiting: &WaitingPrompt<'_>, options: &DispatchOptions) -> bool {
     let need = waiting.need;
-    let margin_ms = need.full_aim_ms * options.spare_margin_share;
-    waiting.placement.first_token_ms + margin_ms > need.aim_ms
+    let margin_ms = need.ttft_target_ms * options.spare_margin_share;
+    waiting.placement.first_token_ms + margin_ms > need.ttft_left_ms
 }
 
 /// A short prompt goes at once while it can be on time, and while there are places to spare. Else it waits for
 /// one, unless it would end too late after all that wait before it.
-fn short_turn(waiting: &Waiting<'_>, options: &Options) -> Turn {
-    let scene = &waiting.placement.scene;
-    let taken_share = f64::from(scene.places_taken_permille) / 1e3;
-    if !takes_spare(waiting, options) || taken_share < options.spare_from_share {
-        return Turn::Go;
+fn decide_short(waiting: &WaitingPrompt<'_>, options: &DispatchOptions) -> DispatchDecision {
+    let snapshot = &waiting.placement.snapshot;
+    let taken_share = f64::from(snapshot.slots_taken_permille) / 1e3;
+    if !needs_spare_slot(waiting, options) || taken_share < options.spare_from_share {
+        return DispatchDecision::Dispatch;
     }
-    let spare_ms = waiting.spare_ms(options);
-    let ends = spare_ms + waiting.answer_ms() <= waiting.need.left_ms;
+    let spare_slot_wait_ms = waiting.spare_slot_wait_ms(options);
+    let ends = spare_slot_wait_ms + waiting.decode_ms() <= waiting.need.deadline_left_ms;
     // Its client leaves before a first token that comes later.
-    let is_borne = spare_ms <= waiting.need.first_left_ms();
+    let is_borne = spare_slot_wait_ms <= waiting.need.first_token_limit_ms();
     match ends && is_borne {
-        true => Turn::Wait,
-        false => Turn::Refuse,
+        true => DispatchDecision::Wait,
+        false => DispatchDecision::Refuse,
     }
 }
 
@@ -296,30 +305,30 @@
 ///
 /// It is refused as soon as it can't end in time on the engines that short streams leave: kept waiting for more, such
 /// prompts are refused later, and no more of them are answered.
-fn late_turn(waiting: &Waiting<'_>, options: &Options) -> Turn {
+fn decide_late(waiting: &WaitingPrompt<'_>, options: &DispatchOptions) -> DispatchDecision {
     if !waiting.ends_in_time(options) {
-        return Turn::Refuse;
+        return DispatchDecision::Refuse;
     }
-    let scene = &waiting.placement.scene;
-    let is_alone = scene.late_engines == 0;
-    let nobody_else = waiting.others.on_time == NOBODY && waiting.is_first(options);
+    let snapshot = &waiting.placement.snapshot;
+    let is_alone = snapshot.late_engines == 0;
+    let nobody_else = waiting.others.on_time == NONE_WAITING && waiting.is_next(options);
     let engines_max = match nobody_else {
-        true => scene.room as f64 * options.idle_share,
-        false => scene.engines as f64 * options.last_share,
+        true => snapshot.engines_for_long as f64 * options.idle_share,
+        false => snapshot.engines as f64 * options.last_share,
     };
-    let engines = (scene.late_engines + waiting.engines()) as f64;
+    let engines = (snapshot.late_engines + waiting.engine_count()) as f64;
     let has_engines = is_alone || engines <= engines_max;
-    let worth_units = waiting.need.units(waiting.model) * options.late_worth_share;
-    let is_worth_it = waiting.placement.harm_units <= worth_units;
-    let is_time = nobody_else || must_go(waiting, options);
+    let max_harm_units = waiting.need.worth_units(waiting.model) * options.late_worth_share;
+    let is_worth_it = waiting.placement.harm_units <= max_harm_units;
+    let is_time = nobody_else || is_last_chance(waiting, options);
     match is_time && has_engines && is_worth_it {
-        true => Turn::Go,
-        false => Turn::Wait,
+        true => DispatchDecision::Dispatch,
+        false => DispatchDecision::Wait,
     }
 }
 
 /// Whether a prompt that waits any longer would miss its deadline.
-fn must_go(waiting: &Waiting<'_>, options: &Options) -> bool {
-    let reading_ms = waiting.work_ms() / options.last_engines * options.margin_factor;
-    waiting.need.left_ms < reading_ms + waiting.answer_ms() * options.write_factor
+fn is_last_chance(waiting: &WaitingPrompt<'_>, options: &DispatchOptions) -> bool {
+    let reading_ms = waiting.single_engine_ms() / options.last_engines * options.margin_factor;
+    waiting.need.deadline_left_ms < reading_ms + waiting.decode_ms() * options.write_factor
 }
--- a/crates/mgs-placing/src/lib.rs
+++ b/crates/mgs-placing/src/lib.rs
@@ -14,24 +14,24 @@
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
-pub mod board;
 pub mod choose;
-pub mod crowd;
-mod figure;
-mod judge;
-mod late;
-pub mod lengths;
-pub mod line;
+pub mod concurrent_choices;
+pub mod dispatch;
+mod engine_state;
+mod evaluation;
+mod late_prompt;
+pub mod length_counts;
+pub mod load_table;
 pub mod model;
-pub mod near;
 pub mod need;
 pub mod options;
-pub mod passes;
+pub mod pass_timeline;
+pub mod peer_message;
+pub mod placement;
 pub mod plain;
-pub mod share;
-pub mod spare;
-mod split;
-pub mod streams;
-mod survey;
-pub mod turn;
-pub mod way;
+pub mod queue_order;
+mod setting_text;
+pub mod spare_slots;
+mod split_memory;
+pub mod stream_group;
+pub mod zone;
--- a/crates/mgs-placing/src/model.rs
+++ b/crates/mgs-placing/src/model.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::need::size;
+use crate::need::size_tokens;
 
 /// The declared figures of the engines of one service.
 ///
@@ -37,17 +37,17 @@
 
 /// What one more writing request adds to a pass of an engine.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct WriterCost {
+pub(crate) struct DecodeCost {
     /// Without any context, in milliseconds.
-    alone_ms: f64,
+    base_ms: f64,
     /// For each 1,000 tokens of its context, in milliseconds.
     per_1k_tokens_ms: f64,
 }
 
-impl WriterCost {
+impl DecodeCost {
     /// The same with a context, in milliseconds.
     pub(crate) fn with_context_ms(self, context_tokens: f64) -> f64 {
-        self.alone_ms + self.per_1k_tokens_ms * context_tokens / 1e3
+        self.base_ms + self.per_1k_tokens_ms * context_tokens / 1e3
     }
 }
 
@@ -77,9 +77,9 @@
     /// use mgs_placing::model::EngineModel;
     ///
     /// let model = EngineModel::default();
-    /// assert!((model.read_ms(45_000) - 459.0).abs() < 5.0);
+    /// assert!((model.prefill_ms(45_000) - 459.0).abs() < 5.0);
     /// ```
-    pub fn read_ms(&self, prompt_tokens: u64) -> f64 {
+    pub fn prefill_ms(&self, prompt_tokens: u64) -> f64 {
         let tokens = prompt_tokens as f64;
         let million_pairs = tokens * tokens / 2.0 / 1e6;
         let steps = tokens / self.chunk_tokens.max(1) as f64;
@@ -90,7 +90,7 @@
 
     /// Size of the usual request in read tokens; the unit of worth.
     pub(crate) fn usual_size_tokens(&self) -> f64 {
-        size(self.usual_prompt_tokens, self.usual_answer_tokens).max(1.0)
+        size_tokens(self.usual_prompt_tokens, self.usual_answer_tokens).max(1.0)
     }
 
     /// Time of a pass of an engine with half of its places taken by usual requests, in milliseconds.
@@ -101,36 +101,36 @@
     /// assert!((EngineModel::default().usual_pass_ms() - 59.0).abs() < 1.0);
     /// ```
     pub fn usual_pass_ms(&self) -> f64 {
-        let writers = (self.slots / 2).max(1);
-        let context_tokens = f64::from(writers) * self.usual_prompt_tokens;
-        self.pass_ms(writers, context_tokens as u64)
+        let decoding = (self.slots / 2).max(1);
+        let context_tokens = f64::from(decoding) * self.usual_prompt_tokens;
+        self.pass_ms(decoding, context_tokens as u64)
     }
 
     /// Time of a pass that writes nearly nothing and reads nothing, in milliseconds.
-    pub fn bare_pass_ms(&self) -> f64 {
+    pub fn min_pass_ms(&self) -> f64 {
         self.pass_ms(0, 0)
     }
 
     /// Passes that it takes to write an answer of so many tokens, the one that shows the first token included.
-    pub fn passes(&self, answer_tokens: u64) -> u64 {
+    pub fn passes_for(&self, answer_tokens: u64) -> u64 {
         answer_tokens
             .div_ceil(u64::from(self.stride_steps.max(1)))
             .max(1)
     }
 
     /// What one more writing request adds to a pass.
-    pub(crate) fn writer_cost(&self) -> WriterCost {
+    pub(crate) fn decode_cost(&self) -> DecodeCost {
         let steps = f64::from(self.stride_steps);
-        WriterCost {
-            alone_ms: self.writer_step_ms * steps,
+        DecodeCost {
+            base_ms: self.writer_step_ms * steps,
             per_1k_tokens_ms: self.context_step_ms_per_1k * steps,
         }
     }
 
     /// Time of a pass that writes for `writers` requests and reads nothing, in milliseconds.
-    pub fn pass_ms(&self, writers: u32, context_tokens: u64) -> f64 {
+    pub fn pass_ms(&self, decoding: u32, context_tokens: u64) -> f64 {
         let context_ms = context_tokens as f64 / 1e3 * self.context_step_ms_per_1k;
-        let step_ms = self.step_ms + f64::from(writers) * self.writer_step_ms + context_ms;
+        let step_ms = self.step_ms + f64::from(decoding) * self.writer_step_ms + context_ms;
         step_ms * f64::from(self.stride_steps)
     }
 }
--- a/crates/mgs-placing/src/need.rs
+++ b/crates/mgs-placing/src/need.rs
@@ -4,10 +4,10 @@
 
 /// A written token's share of a request's size, in read tokens: engines write a token in about the time in
 /// which they read ten.
-pub const WRITTEN_FACTOR: f64 = 10.0;
+pub const DECODE_COST_FACTOR: f64 = 10.0;
 
 /// Share of a request's worth that is lost when it is late: sheets pay about a quarter for late answers.
-pub const LATE_SHARE: f64 = 0.75;
+pub const LATE_LOSS_SHARE: f64 = 0.75;
 
 /// One prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -21,11 +21,11 @@
     /// Longest pause between events for which the answer is on time, in milliseconds.
     pub pause_ms: f64,
     /// Time to the first token for which the answer is on time, from the request's arrival, in milliseconds.
-    pub full_aim_ms: f64,
+    pub ttft_target_ms: f64,
     /// The same from now; 0 or less once it has passed.
-    pub aim_ms: f64,
+    pub ttft_left_ms: f64,
     /// Time until the request must have ended, from now, in milliseconds.
-    pub left_ms: f64,
+    pub deadline_left_ms: f64,
     /// Longest silence that the client bears before the first event and between two, in milliseconds; then it
     /// leaves, and what was written for it is lost.
     pub patience_ms: f64,
@@ -38,9 +38,9 @@
     }
 
     /// Time until the first token must have come, from now, in milliseconds: by then the client leaves.
-    pub fn first_left_ms(&self) -> f64 {
-        let waited_ms = self.full_aim_ms - self.aim_ms;
-        self.left_ms.min(self.patience_ms - waited_ms)
+    pub fn first_token_limit_ms(&self) -> f64 {
+        let waited_ms = self.ttft_target_ms - self.ttft_left_ms;
+        self.deadline_left_ms.min(self.patience_ms - waited_ms)
     }
 
     /// Share of the time after a first token `after_ms` from now that writing the answer alone leaves for others
@@ -55,36 +55,37 @@
     ///     output_tokens: 8_160,
     ///     expected_tokens: 5_100,
     ///     pause_ms: 250.0,
-    ///     full_aim_ms: 300.0,
-    ///     aim_ms: 300.0,
-    ///     left_ms: 10_000.0,
+    ///     ttft_target_ms: 300.0,
+    ///     ttft_left_ms: 300.0,
+    ///     deadline_left_ms: 10_000.0,
     ///     patience_ms: 2_000.0,
     /// };
     /// // 100 passes of 43 ms take 4.3 s of the 9.8 s that are left.
     /// let slack = need.slack_share(&EngineModel::default(), 200.0);
     /// assert!((slack - 0.56).abs() < 0.01);
     /// ```
-    pub fn slack_share(&self, model: &EngineModel, after_ms: f64) -> f64 {
-        let passes = model.passes(self.expected_tokens) as f64;
-        let write_ms = passes * model.bare_pass_ms();
-        let left_ms = (self.left_ms - after_ms).max(f64::MIN_POSITIVE);
-        (1.0 - write_ms / left_ms).clamp(0.0, 1.0)
+    pub fn slack_share(&self, model: &EngineModel, first_token_ms: f64) -> f64 {
+        let passes = model.passes_for(self.expected_tokens) as f64;
+        let decode_ms = passes * model.min_pass_ms();
+        let left_ms = (self.deadline_left_ms - first_token_ms).max(f64::MIN_POSITIVE);
+        (1.0 - decode_ms / left_ms).clamp(0.0, 1.0)
     }
 
     /// What its being on time counts beside other requests: its size as a multiple of the usual request's,
     /// since operators declare no worth and callers who send more wait for more.
-    pub fn units(&self, model: &EngineModel) -> f64 {
-        size(self.prompt_tokens as f64, self.expected_tokens as f64) / model.usual_size_tokens()
+    pub fn worth_units(&self, model: &EngineModel) -> f64 {
+        size_tokens(self.prompt_tokens as f64, self.expected_tokens as f64)
+            / model.usual_size_tokens()
     }
 }
 
 /// Size of a request in read tokens.
 ///
 /// ```
-/// use mgs_placing::need::size;
+/// use mgs_placing::need::size_tokens;
 ///
-/// assert_eq!(size(5_000.0, 800.0), 13_000.0);
+/// assert_eq!(size_tokens(5_000.0, 800.0), 13_000.0);
 /// ```
-pub fn size(prompt_tokens: f64, answer_tokens: f64) -> f64 {
-    prompt_tokens + WRITTEN_FACTOR * answer_tokens
+pub fn size_tokens(prompt_tokens: f64, answer_tokens: f64) -> f64 {
+    prompt_tokens + DECODE_COST_FACTOR * answer_tokens
 }
--- a/crates/mgs-placing/src/options.rs
+++ b/crates/mgs-placing/src/options.rs
@@ -1,12 +1,12 @@
 //! Figures of the choice of engines. None of them is a size, a speed or a limit of some deployment: those are
 //! declared with the engines or sent with each request.
 
-use crate::figure::apply;
-use crate::figure::Figure;
+use crate::setting_text::apply_settings;
+use crate::setting_text::Setting;
 
 /// Settings of [`crate::choose::choose`].
 #[derive(Debug, Clone, PartialEq)]
-pub struct Options {
+pub struct PlacementOptions {
     /// A prompt whose reading takes less than this on one engine isn't shared, in passes of an engine that
     /// writes; below that the hop costs more than it saves.
     pub share_from_passes: f64,
@@ -83,7 +83,7 @@
     pub memory_spare_share: f64,
 }
 
-impl Default for Options {
+impl Default for PlacementOptions {
     fn default() -> Self {
         Self {
             share_from_passes: 2.0,
@@ -118,23 +118,23 @@
     }
 }
 
-impl Options {
+impl PlacementOptions {
     /// Sets the figures of `text`, as in `open_units=1.5,hold_factor=0.5`.
     ///
     /// ```
-    /// use mgs_placing::options::Options;
+    /// use mgs_placing::options::PlacementOptions;
     ///
-    /// let options = Options::default().with("open_units=2").unwrap();
+    /// let options = PlacementOptions::default().with("open_units=2").unwrap();
     /// assert_eq!(options.open_units, 2.0);
-    /// assert!(Options::default().with("open_unit=2").is_err());
+    /// assert!(PlacementOptions::default().with("open_unit=2").is_err());
     /// ```
     pub fn with(self, text: &str) -> Result<Self, String> {
-        apply(self, text, Self::set)
+        apply_settings(self, text, Self::set)
     }
 
-    fn set(&mut self, figure: &Figure) -> bool {
-        let value = figure.value;
-        match figure.name.as_str() {
+    fn set(&mut self, setting: &Setting) -> bool {
+        let value = setting.value;
+        match setting.name.as_str() {
             "share_from_passes" => self.share_from_passes = value,
             "engines_max" => self.engines_max = value as usize,
             "late_engines_share" => self.late_engines_share = value,
--- a/crates/mgs-placing/src/passes.rs
+++ b/crates/mgs-placing/src/pass_timeline.rs
@@ -7,89 +7,89 @@
 
 /// The passes of one engine.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Passes {
+pub struct PassTimeline {
     /// Length of a pass that writes and reads nothing, in milliseconds; 0 until it is known.
     pass_ms: f64,
     /// When the pass that runs should end, in milliseconds.
     end_ms: f64,
     /// Reading that waits for the next pass, in milliseconds.
-    waiting_ms: f64,
+    queued_ms: f64,
 }
 
-impl Passes {
+impl PassTimeline {
     /// The length of a pass that writes and reads nothing is known.
-    pub fn know(&mut self, pass_ms: f64) {
+    pub fn set_pass_ms(&mut self, pass_ms: f64) {
         self.pass_ms = pass_ms;
     }
 
     /// Reading is placed. `is_writing`: whether there are streams, with which passes are long.
     ///
     /// ```
-    /// use mgs_placing::passes::Passes;
+    /// use mgs_placing::pass_timeline::PassTimeline;
     ///
-    /// let mut passes = Passes::default();
-    /// passes.know(50.0);
-    /// passes.read(0.0, 30.0, true);
+    /// let mut passes = PassTimeline::default();
+    /// passes.set_pass_ms(50.0);
+    /// passes.add_prefill(0.0, 30.0, true);
     /// // A pass has just begun; the next one reads what was placed, and what comes now.
     /// assert_eq!(passes.ready_ms(0.0, 10.0, true), 50.0 + 50.0 + 30.0 + 10.0);
     /// ```
-    pub fn read(&mut self, now_ms: f64, read_ms: f64, is_writing: bool) {
-        self.advance(now_ms, is_writing);
-        match is_writing {
-            true => self.waiting_ms += read_ms,
-            false => self.end_ms += read_ms,
+    pub fn add_prefill(&mut self, now_ms: f64, prefill_ms: f64, is_decoding: bool) {
+        self.advance(now_ms, is_decoding);
+        match is_decoding {
+            true => self.queued_ms += prefill_ms,
+            false => self.end_ms += prefill_ms,
         }
     }
 
     /// Reading that was placed was given up.
-    pub fn unread(&mut self, now_ms: f64, read_ms: f64) {
-        let waited_ms = read_ms.clamp(0.0, self.waiting_ms);
-        self.waiting_ms -= waited_ms;
+    pub fn remove_prefill(&mut self, now_ms: f64, prefill_ms: f64) {
+        let waited_ms = prefill_ms.clamp(0.0, self.queued_ms);
+        self.queued_ms -= waited_ms;
         if self.end_ms > now_ms {
-            self.end_ms = (self.end_ms - (read_ms - waited_ms).max(0.0)).max(now_ms);
+            self.end_ms = (self.end_ms - (prefill_ms - waited_ms).max(0.0)).max(now_ms);
         }
     }
 
     /// An event of a stream came: a pass has ended, and the next one has begun.
-    pub fn ended(&mut self, now_ms: f64) {
+    pub fn record_event(&mut self, now_ms: f64) {
         let began_ms = self.end_ms - self.pass_ms;
         // Events of several streams come together.
         if now_ms - began_ms < self.pass_ms / 2.0 && self.end_ms > now_ms {
             return;
         }
         self.end_ms = now_ms;
-        self.begin();
+        self.start_next_pass();
     }
 
     /// Time until a prompt that comes now has been read, and its first token shows, in milliseconds.
-    pub fn ready_ms(&self, now_ms: f64, read_ms: f64, is_writing: bool) -> f64 {
-        let mut then = self.clone();
-        then.advance(now_ms, is_writing);
-        let pass_ms = match is_writing {
-            true => then.pass_ms,
+    pub fn ready_ms(&self, now_ms: f64, prefill_ms: f64, is_decoding: bool) -> f64 {
+        let mut ahead = self.clone();
+        ahead.advance(now_ms, is_decoding);
+        let pass_ms = match is_decoding {
+            true => ahead.pass_ms,
             false => 0.0,
         };
-        then.end_ms - now_ms + pass_ms + then.waiting_ms + read_ms
+        ahead.end_ms - now_ms + pass_ms + ahead.queued_ms + prefill_ms
     }
 
     /// Length of the next pass, in milliseconds.
-    pub fn next_ms(&self, now_ms: f64) -> f64 {
-        let mut then = self.clone();
-        then.advance(now_ms, true);
-        then.pass_ms + then.waiting_ms
+    pub fn next_pass_ms(&self, now_ms: f64) -> f64 {
+        let mut ahead = self.clone();
+        ahead.advance(now_ms, true);
+        ahead.pass_ms + ahead.queued_ms
     }
 
     /// Plays the passes that ended up to now.
-    fn advance(&mut self, now_ms: f64, is_writing: bool) {
+    fn advance(&mut self, now_ms: f64, is_decoding: bool) {
         if self.end_ms > now_ms {
             return;
         }
-        if !is_writing {
-            self.end_ms = now_ms + self.waiting_ms;
-            self.waiting_ms = 0.0;
+        if !is_decoding {
+            self.end_ms = now_ms + self.queued_ms;
+            self.queued_ms = 0.0;
             return;
         }
-        self.begin();
+        self.start_next_pass();
         if self.end_ms <= now_ms {
             // Only streams since then: how far the pass is, nobody knows if none was ever known.
             let over_ms = match self.pass_ms > 0.0 {
@@ -101,8 +101,8 @@
     }
 
     /// The next pass begins when the one before it ends, and reads all that waits.
-    fn begin(&mut self) {
-        self.end_ms += self.pass_ms + self.waiting_ms;
-        self.waiting_ms = 0.0;
+    fn start_next_pass(&mut self) {
+        self.end_ms += self.pass_ms + self.queued_ms;
+        self.queued_ms = 0.0;
     }
 }
--- a/crates/mgs-placing/src/way.rs
+++ b/crates/mgs-placing/src/placement.rs
@@ -10,11 +10,11 @@
     /// By what factor its answers come later than predicted; 1 if as predicted.
     pub slowness: f64,
     /// Whether it is on trial after failures.
-    pub trial: bool,
+    pub on_trial: bool,
     /// Whether it reads parts of prompts that others answer.
-    pub helps: bool,
+    pub can_help: bool,
     /// Whether it may get a request of its own now; it may still read parts for others.
-    pub leads: bool,
+    pub can_lead: bool,
 }
 
 impl Candidate {
@@ -22,25 +22,25 @@
     ///
     /// ```
     /// use mgs_fleet::view::EndpointKey;
-    /// use mgs_placing::way::Candidate;
+    /// use mgs_placing::placement::Candidate;
     ///
     /// let slow = Candidate { slowness: 2.0, ..Candidate::of(EndpointKey(7)) };
-    /// assert!(slow.helps && !slow.trial);
+    /// assert!(slow.can_help && !slow.on_trial);
     /// ```
     pub fn of(key: EndpointKey) -> Self {
         Self {
             key,
             slowness: 1.0,
-            trial: false,
-            helps: true,
-            leads: true,
+            on_trial: false,
+            can_help: true,
+            can_lead: true,
         }
     }
 }
 
 /// Memory to be reserved at one engine before the prompt is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reserve {
+pub struct MemoryReservation {
     /// The engine.
     pub endpoint: EndpointKey,
     /// Tokens.
@@ -49,7 +49,7 @@
 
 /// What the engines were doing when a prompt was placed, for the log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Scene {
+pub struct FleetSnapshot {
     /// Engines that might take it.
     pub engines: usize,
     /// Those that write short streams.
@@ -57,7 +57,7 @@
     /// Those that write other streams and no short ones.
     pub with_other_streams: usize,
     /// Engines that short streams don't need.
-    pub room: usize,
+    pub engines_for_long: usize,
     /// Those without any reading left.
     pub without_reading: usize,
     /// Those that read for prompts that are late anyway.
@@ -65,21 +65,21 @@
     /// Reading left at all of them, in milliseconds.
     pub backlog_ms: u64,
     /// Places of all of them that are taken, in thousandths.
-    pub places_taken_permille: u32,
+    pub slots_taken_permille: u32,
 }
 
 /// Where a prompt goes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
     /// The engine that gets the request and writes its answer.
-    pub first: EndpointKey,
+    pub lead: EndpointKey,
     /// Engines that read parts, without the first.
     pub helpers: Vec<EndpointKey>,
     /// Memory to reserve at helpers, in the order in which the prompt fills it; empty for a prompt that
     /// fits the first engine.
-    pub reserves: Vec<Reserve>,
+    pub reservations: Vec<MemoryReservation>,
     /// Predicted reading at each engine, in milliseconds.
-    pub read_ms: f64,
+    pub prefill_ms: f64,
     /// Longest backlog of its engines, in milliseconds.
     pub backlog_ms: f64,
     /// How long to wait before it is sent, in milliseconds: its engines finish what was placed before.
@@ -93,12 +93,12 @@
     /// Whether it is late whatever is done, and goes where it does least harm.
     pub is_late: bool,
     /// What the engines were doing.
-    pub scene: Scene,
+    pub snapshot: FleetSnapshot,
 }
 
 /// Why there is no placement.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum NoPlace {
+pub enum PlacementError {
     /// No engine may take it.
     NoEndpoint,
     /// All engines together can't hold it.
@@ -113,15 +113,15 @@
         /// Predicted time until there is room, in milliseconds.
         backlog_ms: f64,
         /// What is taken.
-        lack: Lack,
+        shortage: Shortage,
     },
 }
 
 /// What engines lack for a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lack {
+pub enum Shortage {
     /// A place to write its answer.
-    Place,
+    Slot,
     /// Memory at the engines that it may use together.
     Memory {
         /// Tokens that it needs.
--- a/crates/mgs-placing/src/plain.rs
+++ b/crates/mgs-placing/src/plain.rs
@@ -5,7 +5,7 @@
 
 use mgs_fleet::view::EndpointKey;
 
-use crate::board::Board;
+use crate::load_table::LoadTable;
 
 /// An endpoint that may take the call.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -15,9 +15,9 @@
     /// Calls that it runs at once.
     pub slots: u32,
     /// Whether it is in the gateway's own availability zone.
-    pub near: bool,
+    pub in_own_zone: bool,
     /// Whether it is on trial after failures: taken only if it is idle or nobody else is left.
-    pub trial: bool,
+    pub on_trial: bool,
 }
 
 /// Added to the load of an endpoint of another zone, in calls: a hop there and back takes about a tenth
@@ -31,21 +31,21 @@
 ///
 /// ```
 /// use mgs_fleet::view::EndpointKey;
-/// use mgs_placing::board::Board;
-/// use mgs_placing::plain::choose;
+/// use mgs_placing::load_table::LoadTable;
+/// use mgs_placing::plain::choose_endpoint;
 /// use mgs_placing::plain::Candidate;
 ///
-/// let far = Candidate { key: EndpointKey(0), slots: 6, near: false, trial: false };
-/// let near = Candidate { key: EndpointKey(1), near: true, ..far };
-/// assert_eq!(choose(&[far, near], &Board::new()), Some(EndpointKey(1)));
+/// let far = Candidate { key: EndpointKey(0), slots: 6, in_own_zone: false, on_trial: false };
+/// let near = Candidate { key: EndpointKey(1), in_own_zone: true, ..far };
+/// assert_eq!(choose_endpoint(&[far, near], &LoadTable::new()), Some(EndpointKey(1)));
 /// ```
-pub fn choose(candidates: &[Candidate], board: &Board) -> Option<EndpointKey> {
+pub fn choose_endpoint(candidates: &[Candidate], load_table: &LoadTable) -> Option<EndpointKey> {
     let load = |candidate: &Candidate| {
-        let mut calls = f64::from(board.held(candidate.key).calls);
-        if !candidate.near {
+        let mut calls = f64::from(load_table.load(candidate.key).calls);
+        if !candidate.in_own_zone {
             calls += FAR_CALLS;
         }
-        if candidate.trial {
+        if candidate.on_trial {
             calls += TRIAL_CALLS;
         }
         calls / f64::from(candidate.slots.max(1))
--- a/crates/mgs-placing/src/figure.rs
+++ b/crates/mgs-placing/src/setting_text.rs
@@ -2,33 +2,33 @@
 
 /// One figure.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Figure {
+pub(crate) struct Setting {
     pub(crate) name: String,
     pub(crate) value: f64,
 }
 
 /// Puts the figures of `text` into `options` by `set`, which answers no to a name that it doesn't know.
-pub(crate) fn apply<O>(
+pub(crate) fn apply_settings<O>(
     mut options: O,
     text: &str,
-    set: fn(&mut O, &Figure) -> bool,
+    set: fn(&mut O, &Setting) -> bool,
 ) -> Result<O, String> {
     for part in text.split(',').filter(|part| !part.is_empty()) {
-        let figure = figure(part)?;
-        if !set(&mut options, &figure) {
-            return Err(format!("there is no figure {:?}", figure.name));
+        let setting = parse_setting(part)?;
+        if !set(&mut options, &setting) {
+            return Err(format!("unknown setting {:?}", setting.name));
         }
     }
     Ok(options)
 }
 
-fn figure(text: &str) -> Result<Figure, String> {
+fn parse_setting(text: &str) -> Result<Setting, String> {
     let (name, value) = text
         .split_once('=')
-        .ok_or_else(|| format!("{text:?} has no '='"))?;
+        .ok_or_else(|| format!("{text:?} isn't of the form name=value"))?;
     let value = value
         .parse()
-        .map_err(|_| format!("{value:?} is no number"))?;
+        .map_err(|_| format!("{value:?} is not a number"))?;
     let name = name.trim().to_string();
-    Ok(Figure { name, value })
+    Ok(Setting { name, value })
 }
--- /dev/null
+++ b/crates/mgs-placing/src/split_memory.rs
@@ -0,0 +1,146 @@
+//! Prompts that exceed the free memory of each engine: memory is reserved at several.
+//!
+//! The prompt fills the reservations in turn and the rest is kept by the first engine. All reservations
+//! are made before the prompt is sent, or none is kept; whoever gets only some gives them back at once,
+//! so nobody waits while holding and no two prompts can block each other.
+
+use crate::engine_state::EngineState;
+use crate::evaluation::longest_backlog_ms;
+use crate::evaluation::Evaluation;
+use crate::placement::FleetSnapshot;
+use crate::placement::MemoryReservation;
+use crate::placement::Placement;
+use crate::placement::PlacementError;
+use crate::placement::Shortage;
+
+/// Most of an engine's free memory that is reserved: peers may have placed prompts there in the last
+/// milliseconds.
+const RESERVABLE_SHARE: f64 = 0.85;
+
+/// Least reservation that is worth a call, in tokens.
+const RESERVE_MIN_TOKENS: u64 = 8_000;
+
+/// Most of the first engine's free memory that the prompt's rest may take.
+const LEAD_SHARE: f64 = 0.8;
+
+/// Memory decides how many engines it needs; how many more read it, what short streams leave. Bounded by these
+/// as well, thirteen waiting prompts were refused as full within 0.13 s when short ones came, with three quarters
+/// of the memory free.
+pub(crate) fn place_over_engines(evaluation: &Evaluation<'_>) -> Result<Placement, PlacementError> {
+    let needed = evaluation.need.memory_tokens() + evaluation.spare_tokens();
+    let capacity = evaluation.model.memory_tokens * evaluation.engines.len() as u64;
+    if (needed as f64) > capacity as f64 * RESERVABLE_SHARE {
+        return Err(PlacementError::TooLarge);
+    }
+    let lead = roomiest_engine(evaluation).ok_or_else(|| evaluation.full_error(Shortage::Slot))?;
+    let at_lead = (lead.free_tokens as f64 * LEAD_SHARE) as u64;
+    let mut missing = needed.saturating_sub(at_lead);
+    let mut holders = Vec::new();
+    let mut reservations = Vec::new();
+    for engine in by_room(evaluation, lead) {
+        if missing == 0 || holders.len() + 1 >= evaluation.options.engines_max {
+            break;
+        }
+        let available = (engine.free_tokens as f64 * RESERVABLE_SHARE) as u64;
+        let tokens = available.min(missing.max(RESERVE_MIN_TOKENS));
+        if tokens < RESERVE_MIN_TOKENS {
+            continue;
+        }
+        missing = missing.saturating_sub(tokens);
+        holders.push(engine);
+        reservations.push(MemoryReservation {
+            endpoint: engine.key,
+            tokens,
+        });
+    }
+    if missing > 0 {
+        return Err(evaluation.full_error(Shortage::Memory {
+            needed_tokens: needed,
+            engines_max: evaluation.options.engines_max,
+        }));
+    }
+    let prefill_engines = prefill_engines(evaluation, lead, holders);
+    let width = (prefill_engines.len() + 1) as f64;
+    let prefill_ms = evaluation.model.prefill_ms(evaluation.need.prompt_tokens) / width;
+    let mut engines = vec![lead];
+    engines.extend(&prefill_engines);
+    let hold_ms = evaluation.hold_ms(&engines, prefill_ms);
+    let ready_ms = engines
+        .iter()
+        .map(|engine| engine.part_ready_ms(prefill_ms, hold_ms));
+    let first_token_ms = hold_ms + ready_ms.fold(0.0, f64::max);
+    let harm_units: f64 = engines
+        .iter()
+        .map(|engine| engine.prefill_harm(prefill_ms))
+        .sum();
+    Ok(Placement {
+        lead: lead.key,
+        helpers: prefill_engines.iter().map(|engine| engine.key).collect(),
+        reservations,
+        prefill_ms,
+        backlog_ms: longest_backlog_ms(&engines),
+        hold_ms,
+        first_token_ms,
+        loss_units: harm_units,
+        harm_units,
+        is_late: false,
+        snapshot: FleetSnapshot::default(),
+    })
+}
+
+fn roomiest_engine<'a>(evaluation: &'a Evaluation<'a>) -> Option<&'a EngineState<'a>> {
+    evaluation
+        .engines
+        .iter()
+        .filter(|engine| evaluation.has_slot(engine) && !engine.on_trial)
+        .max_by(|a, b| room_tokens(a).total_cmp(&room_tokens(b)))
+}
+
+/// Tokens of room that one short stream counts for: its pauses are what reading there would break.
+const SHORT_WRITER_TOKENS: f64 = 20_000.0;
+
+/// Tokens of room that a millisecond of backlog counts for: a fifth of a second is worth all of an engine's
+/// memory, since the prompt waits for the last of its engines.
+const BACKLOG_MS_TOKENS: f64 = 1_500.0;
+
+/// Free memory, less for what makes an engine a bad place to read.
+fn room_tokens(engine: &EngineState<'_>) -> f64 {
+    let streams = f64::from(engine.running_short) * SHORT_WRITER_TOKENS;
+    let backlog = engine.backlog_ms * BACKLOG_MS_TOKENS;
+    engine.free_tokens as f64 - streams - backlog
+}
+
+fn by_room<'a>(evaluation: &'a Evaluation<'a>, lead: &EngineState<'a>) -> Vec<&'a EngineState<'a>> {
+    let mut others = helpers(evaluation, lead);
+    others.sort_by(|a, b| room_tokens(b).total_cmp(&room_tokens(a)));
+    others
+}
+
+fn helpers<'a>(evaluation: &'a Evaluation<'a>, lead: &EngineState<'a>) -> Vec<&'a EngineState<'a>> {
+    evaluation
+        .engines
+        .iter()
+        .filter(|engine| engine.key != lead.key && engine.may_help(evaluation.model))
+        .collect()
+}
+
+/// The holders, and besides as many engines as may read without short streams of their own.
+fn prefill_engines<'a>(
+    evaluation: &'a Evaluation<'a>,
+    lead: &EngineState<'a>,
+    holders: Vec<&'a EngineState<'a>>,
+) -> Vec<&'a EngineState<'a>> {
+    let mut prefill_engines = holders;
+    let mut others = helpers(evaluation, lead);
+    others.retain(|engine| engine.running_short == 0);
+    others.sort_by(|a, b| a.backlog_ms.total_cmp(&b.backlog_ms));
+    for engine in others {
+        let known = prefill_engines
+            .iter()
+            .any(|reader| reader.key == engine.key);
+        if !known && prefill_engines.len() + 1 < evaluation.engines_max {
+            prefill_engines.push(engine);
+        }
+    }
+    prefill_engines
+}
--- a/crates/mgs-placing/src/streams.rs
+++ b/crates/mgs-placing/src/stream_group.rs
@@ -24,7 +24,7 @@
 
 /// Streams of one limit on pauses, patience and slack.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Streams {
+pub struct StreamGroup {
     /// Longest pause between events for which they are on time, in milliseconds.
     pub pause_ms: u32,
     /// Whether they are answers to long prompts, which are kept apart from others.
@@ -41,17 +41,17 @@
     slack_tenths: u8,
 }
 
-impl Streams {
+impl StreamGroup {
     /// One stream, worth so many units.
     ///
     /// ```
-    /// use mgs_placing::streams::Streams;
+    /// use mgs_placing::stream_group::StreamGroup;
     ///
-    /// let stream = Streams::one(250.0, false, 0.75, 38);
+    /// let stream = StreamGroup::single(250.0, false, 0.75, 38);
     /// assert_eq!(stream.count, 1);
     /// assert_eq!(stream.units(), 0.75);
     /// ```
-    pub fn one(pause_ms: f64, is_long: bool, units: f64, passes: u64) -> Self {
+    pub fn single(pause_ms: f64, is_long: bool, units: f64, passes: u64) -> Self {
         Self {
             pause_ms: pause_ms as u32,
             is_long,
@@ -74,9 +74,9 @@
     /// The same that must have ended by a deadline, and can do without `slack_share` of the time until then.
     ///
     /// ```
-    /// use mgs_placing::streams::Streams;
+    /// use mgs_placing::stream_group::StreamGroup;
     ///
-    /// let stream = Streams::one(250.0, false, 0.75, 150).with_slack(0.17);
+    /// let stream = StreamGroup::single(250.0, false, 0.75, 150).with_slack(0.17);
     /// assert!((stream.slack_share().unwrap() - 0.15).abs() < 1e-9);
     /// assert_eq!(stream.with_slack(0.8).slack_share(), None);
     /// ```
@@ -123,7 +123,7 @@
         self.passes = self.passes.saturating_add(other.passes);
     }
 
-    fn take(&mut self, other: &Self) {
+    fn subtract(&mut self, other: &Self) {
         self.count = self.count.saturating_sub(other.count);
         self.worth_hundredths = self.worth_hundredths.saturating_sub(other.worth_hundredths);
         self.passes = self.passes.saturating_sub(other.passes);
@@ -131,7 +131,7 @@
 }
 
 /// Adds streams to groups of which each has a limit of its own.
-pub(crate) fn add(groups: &mut Vec<Streams>, more: &[Streams]) {
+pub(crate) fn add(groups: &mut Vec<StreamGroup>, more: &[StreamGroup]) {
     for streams in more {
         match groups.iter_mut().find(|group| group.key() == streams.key()) {
             Some(group) => group.add(streams),
@@ -141,10 +141,10 @@
 }
 
 /// Takes streams away that were added before.
-pub(crate) fn take(groups: &mut Vec<Streams>, less: &[Streams]) {
+pub(crate) fn subtract(groups: &mut Vec<StreamGroup>, less: &[StreamGroup]) {
     for streams in less {
         if let Some(group) = groups.iter_mut().find(|group| group.key() == streams.key()) {
-            group.take(streams);
+            group.subtract(streams);
         }
     }
     groups.retain(|group| group.count > 0);
--- a/crates/mgs-placing/src/near.rs
+++ b/crates/mgs-placing/src/zone.rs
@@ -7,22 +7,22 @@
 //! It is done only where a zone has engines enough for the widest prompt, and only for a prompt that has time to spare
 //! there. Any other is judged over all engines as well, and goes where it loses least.
 
-use crate::board::Board;
-use crate::choose::choose;
-use crate::choose::Lot;
+use crate::choose::choose_engines;
+use crate::choose::RandomDraw;
+use crate::load_table::LoadTable;
 use crate::model::EngineModel;
 use crate::need::Need;
-use crate::options::Options;
-use crate::way::Candidate;
-use crate::way::NoPlace;
-use crate::way::Placement;
+use crate::options::PlacementOptions;
+use crate::placement::Candidate;
+use crate::placement::Placement;
+use crate::placement::PlacementError;
 
 /// Engines that may take a prompt. Those that lie together stand together in both lists, and the first are taken where
 /// several are as good.
 #[derive(Debug, Clone, Copy)]
-pub struct Field<'a> {
+pub struct ZoneCandidates<'a> {
     /// Those in the gateway's own availability zone.
-    pub near: &'a [Candidate],
+    pub own_zone: &'a [Candidate],
     /// All, the near ones included.
     pub all: &'a [Candidate],
 }
@@ -38,7 +38,7 @@
 
 /// A placement and where it was judged.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Placed {
+pub struct ScopedPlacement {
     /// Where it goes.
     pub placement: Placement,
     /// Whom it competes with.
@@ -49,70 +49,73 @@
 ///
 /// ```
 /// use mgs_fleet::view::EndpointKey;
-/// use mgs_placing::board::Board;
+/// use mgs_placing::load_table::LoadTable;
 /// use mgs_placing::model::EngineModel;
-/// use mgs_placing::near::place;
-/// use mgs_placing::near::Field;
-/// use mgs_placing::near::Scope;
+/// use mgs_placing::zone::place_prompt;
+/// use mgs_placing::zone::ZoneCandidates;
+/// use mgs_placing::zone::Scope;
 /// use mgs_placing::need::Need;
-/// use mgs_placing::options::Options;
-/// use mgs_placing::way::Candidate;
+/// use mgs_placing::options::PlacementOptions;
+/// use mgs_placing::placement::Candidate;
 ///
 /// let need = Need {
 ///     prompt_tokens: 5_000,
 ///     output_tokens: 1_600,
 ///     expected_tokens: 800,
 ///     pause_ms: 250.0,
-///     full_aim_ms: 300.0,
-///     aim_ms: 300.0,
-///     left_ms: 10_000.0,
+///     ttft_target_ms: 300.0,
+///     ttft_left_ms: 300.0,
+///     deadline_left_ms: 10_000.0,
 ///     patience_ms: 2_000.0,
 /// };
 /// let engine = |key| Candidate::of(EndpointKey(key));
 /// let all: Vec<Candidate> = (0..100).map(engine).collect();
-/// let field = Field { near: &all[..30], all: &all };
-/// let (board, model, options) = (Board::new(), EngineModel::default(), Options::default());
-/// let placed = place(&need, &field, &board, &model, &options, 0.5, 0.0).unwrap();
+/// let zones = ZoneCandidates { own_zone: &all[..30], all: &all };
+/// let (load_table, model, options) = (LoadTable::new(), EngineModel::default(), PlacementOptions::default());
+/// let placed = place_prompt(&need, &zones, &load_table, &model, &options, 0.5, 0.0).unwrap();
 /// assert_eq!(placed.scope, Scope::Zone);
-/// assert!(placed.placement.first.0 < 30);
+/// assert!(placed.placement.lead.0 < 30);
 /// ```
-pub fn place(
+pub fn place_prompt(
     need: &Need,
-    field: &Field<'_>,
-    board: &Board,
+    zones: &ZoneCandidates<'_>,
+    load_table: &LoadTable,
     model: &EngineModel,
-    options: &Options,
+    options: &PlacementOptions,
     draw: f64,
     now_ms: f64,
-) -> Result<Placed, NoPlace> {
+) -> Result<ScopedPlacement, PlacementError> {
     let among = |candidates: &[Candidate]| {
-        let share = candidates.len() as f64 / field.all.len().max(1) as f64;
-        choose(
+        let share = candidates.len() as f64 / zones.all.len().max(1) as f64;
+        choose_engines(
             need,
             candidates,
-            board,
+            load_table,
             model,
             options,
-            Lot { draw, share },
+            RandomDraw { draw, share },
             now_ms,
         )
     };
-    let near = match has_near(field, options) {
-        true => among(field.near).ok(),
+    let near = match is_zone_large_enough(zones, options) {
+        true => among(zones.own_zone).ok(),
         false => None,
     };
-    let in_zone = |placement| Placed {
+    let in_zone = |placement| ScopedPlacement {
         placement,
         scope: Scope::Zone,
     };
-    if let Some(placement) = near.as_ref().filter(|near| has_time(need, near, options)) {
+    if let Some(placement) = near
+        .as_ref()
+        .filter(|near| has_time_to_spare(need, near, options))
+    {
         return Ok(in_zone(placement.clone()));
     }
-    let anywhere = among(field.all);
+    let anywhere = among(zones.all);
     match (near, anywhere) {
         (Some(near), Ok(far)) if near.loss_units <= far.loss_units => Ok(in_zone(near)),
         (Some(near), Err(_)) => Ok(in_zone(near)),
-        (_, anywhere) => anywhere.map(|placement| Placed {
+        (_, anywhere) => anywhere.map(|placement| ScopedPlacement {
             placement,
             scope: Scope::Fleet,
         }),
@@ -120,14 +123,14 @@
 }
 
 /// Whether the own zone has engines enough for the widest prompt, and isn't all that there is.
-fn has_near(field: &Field<'_>, options: &Options) -> bool {
+fn is_zone_large_enough(zones: &ZoneCandidates<'_>, options: &PlacementOptions) -> bool {
     let least = options.engines_max as f64 * options.near_engines_factor;
-    field.near.len() as f64 >= least && field.near.len() < field.all.len()
+    zones.own_zone.len() as f64 >= least && zones.own_zone.len() < zones.all.len()
 }
 
 /// Whether a prompt's first token comes with time to spare, and, if several engines read it, they are done with what was
 /// sent before: else it would wait for its turn there while other zones have nothing to read.
-fn has_time(need: &Need, placement: &Placement, options: &Options) -> bool {
+fn has_time_to_spare(need: &Need, placement: &Placement, options: &PlacementOptions) -> bool {
     let must_wait = !placement.helpers.is_empty() && placement.backlog_ms > options.near_backlog_ms;
-    !must_wait && placement.first_token_ms <= need.aim_ms * options.near_aim_share
+    !must_wait && placement.first_token_ms <= need.ttft_left_ms * options.near_aim_share
 }
--- a/crates/mgs-placing/tests/company.rs
+++ b/crates/mgs-placing/tests/company.rs
@@ -1,16 +1,16 @@
 //! Short streams gather on few engines, as far as that serves them.
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Board;
-use mgs_placing::board::Held;
-use mgs_placing::choose::choose;
-use mgs_placing::choose::Lot;
+use mgs_placing::choose::choose_engines;
+use mgs_placing::choose::RandomDraw;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::load_table::LoadTable;
 use mgs_placing::model::EngineModel;
 use mgs_placing::need::Need;
 use mgs_placing::options;
-use mgs_placing::streams::Streams;
-use mgs_placing::way::Candidate;
-use mgs_placing::way::Placement;
+use mgs_placing::placement::Candidate;
+use mgs_placing::placement::Placement;
+use mgs_placing::stream_group::StreamGroup;
 
 /// A short question as on the sheets.
 const QUESTION: Need = Need {
@@ -18,47 +18,47 @@
     output_tokens: 1_680,
     expected_tokens: 1_680,
     pause_ms: 250.0,
-    full_aim_ms: 300.0,
-    aim_ms: 300.0,
-    left_ms: 10_000.0,
+    ttft_target_ms: 300.0,
+    ttft_left_ms: 300.0,
+    deadline_left_ms: 10_000.0,
     patience_ms: f64::INFINITY,
 };
 
-fn place(need: &Need, board: &Board) -> Placement {
+fn place(need: &Need, board: &LoadTable) -> Placement {
     place_at(need, board, &EngineModel::default(), 0.0)
 }
 
-fn place_at(need: &Need, board: &Board, model: &EngineModel, now_ms: f64) -> Placement {
+fn place_at(need: &Need, board: &LoadTable, model: &EngineModel, now_ms: f64) -> Placement {
     let candidate = |key| Candidate::of(EndpointKey(key));
     let candidates: Vec<Candidate> = (0..4).map(candidate).collect();
-    let options = options::Options::default();
-    choose(
+    let options = options::PlacementOptions::default();
+    choose_engines(
         need,
         &candidates,
         board,
         model,
         &options,
-        Lot::default(),
+        RandomDraw::default(),
         now_ms,
     )
     .expect("a place")
 }
 
 /// One engine with short streams and this much reading left.
-fn gathered(backlog_ms: f64) -> Board {
-    let mut board = Board::new();
-    let streams = Held {
-        streams: vec![Streams::one(250.0, false, 1.0, 33); 8],
-        ..Held::default()
+fn gathered(backlog_ms: f64) -> LoadTable {
+    let mut board = LoadTable::new();
+    let streams = EndpointLoad {
+        streams: vec![StreamGroup::single(250.0, false, 1.0, 33); 8],
+        ..EndpointLoad::default()
     };
-    board.hold(EndpointKey(2), &streams);
-    board.read(EndpointKey(2), 0.0, backlog_ms);
+    board.add_own(EndpointKey(2), &streams);
+    board.add_prefill(EndpointKey(2), 0.0, backlog_ms);
     board
 }
 
 #[test]
 fn a_question_goes_where_others_are() {
-    assert_eq!(place(&QUESTION, &gathered(0.0)).first, EndpointKey(2));
+    assert_eq!(place(&QUESTION, &gathered(0.0)).lead, EndpointKey(2));
 }
 
 /// Found by the soak (seeds 5 and 38): prompts of a tenth of a question's worth, for which an engine of their
@@ -69,14 +69,17 @@
         prompt_tokens: 900,
         output_tokens: 200,
         expected_tokens: 200,
-        left_ms: 799.0,
-        full_aim_ms: 150.0,
-        aim_ms: 150.0,
+        deadline_left_ms: 799.0,
+        ttft_target_ms: 150.0,
+        ttft_left_ms: 150.0,
         ..QUESTION
     };
     let placement = place(&tiny, &gathered(900.0));
-    assert_ne!(placement.first, EndpointKey(2));
-    assert!(placement.first_token_ms < tiny.aim_ms, "{placement:?}");
+    assert_ne!(placement.lead, EndpointKey(2));
+    assert!(
+        placement.first_token_ms < tiny.ttft_left_ms,
+        "{placement:?}"
+    );
 }
 
 /// Limits of 130 and 590 ms once counted as one class, that of the least limit of the first deployments. Held
@@ -84,29 +87,29 @@
 /// 0.038 of the worth.
 #[test]
 fn a_part_is_read_where_streams_bear_the_pause() {
-    let streams_of = |pause_ms| Held {
-        streams: vec![Streams::one(pause_ms, false, 1.0, 33); 2],
-        ..Held::default()
+    let streams_of = |pause_ms| EndpointLoad {
+        streams: vec![StreamGroup::single(pause_ms, false, 1.0, 33); 2],
+        ..EndpointLoad::default()
     };
-    let mut board = Board::new();
+    let mut board = LoadTable::new();
     for key in 0..4 {
         let pause_ms = match key {
             1 | 2 => 590.0,
             _ => 130.0,
         };
-        board.hold(EndpointKey(key), &streams_of(pause_ms));
-        board.know_pass(EndpointKey(key), 43.0);
+        board.add_own(EndpointKey(key), &streams_of(pause_ms));
+        board.set_pass_ms(EndpointKey(key), 43.0);
     }
     let review = Need {
         prompt_tokens: 45_000,
         pause_ms: 600.0,
-        full_aim_ms: 1_500.0,
-        aim_ms: 1_500.0,
+        ttft_target_ms: 1_500.0,
+        ttft_left_ms: 1_500.0,
         ..QUESTION
     };
     let placement = place(&review, &board);
     let mut engines = placement.helpers.clone();
-    engines.push(placement.first);
+    engines.push(placement.lead);
     for tight in [EndpointKey(0), EndpointKey(3)] {
         assert!(!engines.contains(&tight), "{placement:?}");
     }
@@ -119,7 +122,7 @@
     let mut board = gathered(0.0);
     let mut now_ms = 0.0;
     while now_ms < 3_000.0 {
-        board.read(EndpointKey(2), now_ms, 35.0);
+        board.add_prefill(EndpointKey(2), now_ms, 35.0);
         now_ms += 100.0;
     }
     let model = EngineModel {
@@ -130,15 +133,15 @@
     let long_answer = Need {
         output_tokens: 9_000,
         expected_tokens: 9_000,
-        full_aim_ms: 1_000.0,
-        aim_ms: 1_000.0,
+        ttft_target_ms: 1_000.0,
+        ttft_left_ms: 1_000.0,
         ..QUESTION
     };
-    assert_ne!(place(&long_answer).first, EndpointKey(2));
+    assert_ne!(place(&long_answer).lead, EndpointKey(2));
     let usual = Need {
-        full_aim_ms: 1_000.0,
-        aim_ms: 1_000.0,
+        ttft_target_ms: 1_000.0,
+        ttft_left_ms: 1_000.0,
         ..QUESTION
     };
-    assert_eq!(place(&usual).first, EndpointKey(2));
+    assert_eq!(place(&usual).lead, EndpointKey(2));
 }
--- a/crates/mgs-placing/tests/emulator/fleet.rs
+++ b/crates/mgs-placing/tests/emulator/fleet.rs
@@ -1,8 +1,8 @@
 //! Many gateways before emulated engines, which hear of each other late.
 
-use mgs_placing::board::PeerKey;
-use mgs_placing::board::Said;
-use mgs_placing::board::ZoneKey;
+use mgs_placing::load_table::PeerKey;
+use mgs_placing::load_table::PeerReport;
+use mgs_placing::load_table::ZoneKey;
 
 use super::gateway::Deployment;
 use super::gateway::FreshRead;
@@ -63,7 +63,7 @@
 struct Message {
     from: usize,
     is_whole: bool,
-    said: Said,
+    said: PeerReport,
     reads: Vec<FreshRead>,
 }
 
@@ -164,12 +164,12 @@
             self.emulator.schedule(now_ms + WHOLE_MS, Event::Tell(from));
         }
         let more = std::mem::take(&mut gateway.fresh_held);
-        let said = Said {
+        let said = PeerReport {
             zone: ZoneKey(gateway.zone as u32 + 1),
             waiting: gateway.first_waiting(),
-            lengths: gateway.lengths.told(now_ms),
+            lengths: gateway.lengths.band_counts(now_ms),
             held: match is_whole {
-                true => gateway.board.own(),
+                true => gateway.board.own_loads(),
                 false => more,
             },
         };
@@ -197,15 +197,15 @@
                 let (endpoint, read_ms) = (read.endpoint, read.read_ms);
                 gateway
                     .board
-                    .read_elsewhere(endpoint, now_ms, read_ms, read.reads);
+                    .add_peer_prefill(endpoint, now_ms, read_ms, read.reads);
             }
             let peer = PeerKey(message.from as u64);
             let said = message.said.clone();
             match message.is_whole {
-                true => gateway.board.hear(peer, now_ms, said),
+                true => gateway.board.replace_peer(peer, now_ms, said),
                 false => gateway
                     .board
-                    .hear_more(peer, now_ms, said.waiting, said.held),
+                    .extend_peer(peer, now_ms, said.waiting, said.held),
             }
         }
     }
--- a/crates/mgs-placing/tests/emulator/gateway.rs
+++ b/crates/mgs-placing/tests/emulator/gateway.rs
@@ -9,30 +9,30 @@
 use mgs_backpressure::table::Life;
 use mgs_backpressure::table::Table;
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Board;
-use mgs_placing::board::Held;
-use mgs_placing::board::ZoneKey;
 use mgs_placing::choose::is_long;
-use mgs_placing::lengths::Band;
-use mgs_placing::lengths::Lengths;
-use mgs_placing::line::Firsts;
-use mgs_placing::line::Score;
+use mgs_placing::dispatch;
+use mgs_placing::dispatch::score;
+use mgs_placing::dispatch::DispatchDecision;
+use mgs_placing::length_counts::LengthBand;
+use mgs_placing::length_counts::LengthCounter;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::load_table::LoadTable;
+use mgs_placing::load_table::ZoneKey;
 use mgs_placing::model::EngineModel;
-use mgs_placing::near::place;
-use mgs_placing::near::Field;
-use mgs_placing::near::Placed;
-use mgs_placing::near::Scope;
 use mgs_placing::need::Need;
 use mgs_placing::options;
-use mgs_placing::share::Reads;
-use mgs_placing::spare::Spare;
-use mgs_placing::streams::Streams;
-use mgs_placing::turn;
-use mgs_placing::turn::score;
-use mgs_placing::turn::Turn;
-use mgs_placing::way::Candidate;
-use mgs_placing::way::Placement;
-use mgs_placing::way::Scene;
+use mgs_placing::peer_message::PrefillPart;
+use mgs_placing::placement::Candidate;
+use mgs_placing::placement::FleetSnapshot;
+use mgs_placing::placement::Placement;
+use mgs_placing::queue_order::QueueHeads;
+use mgs_placing::queue_order::Score;
+use mgs_placing::spare_slots::SpareSlotRate;
+use mgs_placing::stream_group::StreamGroup;
+use mgs_placing::zone::place_prompt;
+use mgs_placing::zone::Scope;
+use mgs_placing::zone::ScopedPlacement;
+use mgs_placing::zone::ZoneCandidates;
 
 use super::load;
 use super::Audits;
@@ -111,7 +111,7 @@
 pub(super) struct FreshRead {
     pub(super) endpoint: EndpointKey,
     pub(super) read_ms: f64,
-    pub(super) reads: Reads,
+    pub(super) reads: PrefillPart,
 }
 
 pub(super) struct Gateway {
@@ -127,15 +127,15 @@
     /// What its choices are drawn from; without it, it takes what looks best.
     pub(super) draws: Option<Numbers>,
     pub(super) fresh_reads: Vec<FreshRead>,
-    pub(super) fresh_held: Vec<(EndpointKey, Held)>,
+    pub(super) fresh_held: Vec<(EndpointKey, EndpointLoad)>,
     /// Whether engines are free again for which long prompts may wait.
     pub(super) has_freed: bool,
-    pub(super) board: Board,
-    pub(super) options: options::Options,
-    turns: turn::Options,
+    pub(super) board: LoadTable,
+    pub(super) options: options::PlacementOptions,
+    turns: dispatch::DispatchOptions,
     pub(super) waiting: Vec<usize>,
-    spare: Spare,
-    pub(super) lengths: Lengths,
+    spare: SpareSlotRate,
+    pub(super) lengths: LengthCounter,
     placed: HashMap<usize, Sent>,
     judged: HashMap<usize, Judged>,
     limited: Option<Limited>,
@@ -151,22 +151,22 @@
 
 impl Judged {
     /// Whether its chances are judged anew later only, as others go first.
-    fn rests(&self, firsts: Firsts, now_ms: f64) -> bool {
-        now_ms - self.at_ms < JUDGEMENT_MS && self.score > firsts.in_line_of(self.score)
+    fn rests(&self, firsts: QueueHeads, now_ms: f64) -> bool {
+        now_ms - self.at_ms < JUDGEMENT_MS && self.score > firsts.head_for(self.score)
     }
 }
 
 struct Sent {
     placement: Placement,
-    parts: Vec<(EndpointKey, Held)>,
+    parts: Vec<(EndpointKey, EndpointLoad)>,
     /// The writer and memory, until the end.
-    rest: Vec<(EndpointKey, Held)>,
+    rest: Vec<(EndpointKey, EndpointLoad)>,
 }
 
 impl Gateway {
     pub(super) fn new(policy: Policy, deployment: &Deployment) -> Self {
-        let mut options = options::Options::default();
-        let mut turns = turn::Options::default();
+        let mut options = options::PlacementOptions::default();
+        let mut turns = dispatch::DispatchOptions::default();
         // Engines that never run out of places have no spare ones to wait for.
         if policy == Policy::NoSpare || deployment.places == usize::MAX {
             turns.spare_from_share = f64::INFINITY;
@@ -177,9 +177,9 @@
             turns.last_engines = 10.0;
             turns.last_share = 1.0;
         }
-        let mut board = Board::new();
+        let mut board = LoadTable::new();
         for key in 0..deployment.engines as u32 {
-            board.know_pass(EndpointKey(key), deployment.model.bare_pass_ms());
+            board.set_pass_ms(EndpointKey(key), deployment.model.min_pass_ms());
         }
         Self {
             policy,
@@ -195,8 +195,8 @@
             options,
             turns,
             waiting: Vec::new(),
-            spare: Spare::default(),
-            lengths: Lengths::default(),
+            spare: SpareSlotRate::default(),
+            lengths: LengthCounter::default(),
             placed: HashMap::new(),
             judged: HashMap::new(),
             limited: deployment.limited,
@@ -212,14 +212,14 @@
             output_tokens: u64::from(prompt.most_events) * stride,
             expected_tokens: u64::from(prompt.expected_events) * stride,
             pause_ms: prompt.pause_ms,
-            full_aim_ms: prompt.aim_ms,
-            aim_ms: prompt.aim_ms - waited_ms,
-            left_ms: prompt.deadline_ms - waited_ms,
+            ttft_target_ms: prompt.aim_ms,
+            ttft_left_ms: prompt.aim_ms - waited_ms,
+            deadline_left_ms: prompt.deadline_ms - waited_ms,
             patience_ms: prompt.patience_ms,
         }
     }
 
-    fn place(&mut self, need: &Need, model: &EngineModel, now_ms: f64) -> Option<Placed> {
+    fn place(&mut self, need: &Need, model: &EngineModel, now_ms: f64) -> Option<ScopedPlacement> {
         let mut keys = self.engines.clone();
         // Its own zone comes first, from another engine on each time.
         let zone_engines = keys.len() / self.zones;
@@ -233,7 +233,8 @@
         }
         let shut: HashSet<u64> = self.limits.shut(now_ms).iter().map(|(l, _)| l.0).collect();
         let placed = self.place_among(&keys, &shut, need, model, draw, now_ms);
-        let is_on_time = |placed: &Placed| placed.placement.first_token_ms <= need.aim_ms;
+        let is_on_time =
+            |placed: &ScopedPlacement| placed.placement.first_token_ms <= need.ttft_left_ms;
         let limited = self.limited;
         let Some(limited) = limited.filter(|limited| limited.way == LimitWay::LastToLead) else {
             return placed;
@@ -252,23 +253,23 @@
         model: &EngineModel,
         draw: f64,
         now_ms: f64,
-    ) -> Option<Placed> {
+    ) -> Option<ScopedPlacement> {
         let zone_engines = keys.len() / self.zones;
         let is_asked_nothing = self.limited.is_some_and(|l| l.way == LimitWay::Nothing);
         let candidate = |key: &u32| {
             let leads = !shut.contains(&u64::from(*key));
             Candidate {
-                leads,
-                helps: leads || !is_asked_nothing,
+                can_lead: leads,
+                can_help: leads || !is_asked_nothing,
                 ..Candidate::of(EndpointKey(*key))
             }
         };
         let all: Vec<Candidate> = keys.iter().map(candidate).collect();
-        let field = Field {
-            near: &all[..zone_engines],
+        let field = ZoneCandidates {
+            own_zone: &all[..zone_engines],
             all: &all,
         };
-        place(
+        place_prompt(
             need,
             &field,
             &self.board,
@@ -287,14 +288,14 @@
 
     fn sent_ratio(&self, need: &Need, now_ms: f64) -> f64 {
         let mut counts = self.lengths.counts(now_ms);
-        self.board.add_lengths(&mut counts);
-        counts.ratio(Band::of(need.prompt_tokens, need.full_aim_ms))
+        self.board.add_length_counts(&mut counts);
+        counts.sent_ratio(LengthBand::of(need.prompt_tokens, need.ttft_target_ms))
     }
 
     pub(super) fn arrive(&mut self, emulator: &mut Emulator, prompt: usize) {
         let need = Self::need(&emulator.prompts[prompt], &emulator.model, emulator.now_ms);
-        if let Some(band) = turn::band(&need, &emulator.model, &self.turns) {
-            self.lengths.asked(band, emulator.now_ms);
+        if let Some(band) = dispatch::length_band(&need, &emulator.model, &self.turns) {
+            self.lengths.count_asked(band, emulator.now_ms);
         }
         self.waiting.push(prompt);
         self.look(emulator);
@@ -305,15 +306,15 @@
         let now_ms = emulator.now_ms;
         let mut scored = Vec::new();
         // Who stays in line; those that go at once never stand in it.
-        let mut before = Firsts::default();
+        let mut before = QueueHeads::default();
         let firsts = self.judged.values();
-        let firsts = firsts.fold(Firsts::default(), |firsts, judged| {
-            firsts.with(judged.score)
+        let firsts = firsts.fold(QueueHeads::default(), |firsts, judged| {
+            firsts.with_score(judged.score)
         });
         for prompt in std::mem::take(&mut self.waiting) {
             if let Some(judged) = self.judged.get(&prompt) {
                 if judged.rests(firsts, now_ms) {
-                    before = before.with(judged.score);
+                    before = before.with_score(judged.score);
                     self.waiting.push(prompt);
                     continue;
                 }
@@ -327,7 +328,7 @@
             scored.push((own, prompt, placed));
         }
         scored.sort_by_key(|(score, prompt, _)| (*score, *prompt));
-        let short = |(_, prompt, _): &(Score, usize, Placed)| {
+        let short = |(_, prompt, _): &(Score, usize, ScopedPlacement)| {
             let is_short = emulator.prompts[*prompt].tokens < SHORT_TOKENS;
             is_short.then_some(*prompt)
         };
@@ -341,38 +342,41 @@
                 false => Some(placed),
                 true => self.place(&need, &emulator.model, now_ms),
             };
-            let Some(Placed { placement, scope }) = placed else {
+            let Some(ScopedPlacement { placement, scope }) = placed else {
                 continue;
             };
             let zone = ZoneKey(self.zone as u32 + 1);
             let (waiting, gateways) = match scope {
-                Scope::Zone => (self.board.waiting_in(zone), self.board.peers_in(zone) + 1),
-                Scope::Fleet => (self.board.waiting(), self.gateways),
+                Scope::Zone => (
+                    self.board.peer_heads_in(zone),
+                    self.board.peer_count_in(zone) + 1,
+                ),
+                Scope::Fleet => (self.board.peer_heads(), self.gateways),
             };
-            let waiting = turn::Waiting {
+            let waiting = dispatch::WaitingPrompt {
                 need: &need,
                 placement: &placement,
                 model: &emulator.model,
-                own,
-                others: before.and(waiting),
+                score: own,
+                others: before.merge(waiting),
                 // Short prompts that came before it; they are numbered as they come.
                 ahead: shorts.partition_point(|short| *short < prompt),
                 spare_per_s: self.spare.per_s(now_ms),
                 gateways,
             };
-            let turn = turn::turn(&waiting, &self.turns);
-            if turn == Turn::Go
+            let turn = dispatch::decide(&waiting, &self.turns);
+            if turn == DispatchDecision::Dispatch
                 && waiting.is_short(&self.turns)
-                && turn::takes_spare(&waiting, &self.turns)
+                && dispatch::needs_spare_slot(&waiting, &self.turns)
             {
-                self.spare.found(now_ms);
+                self.spare.record(now_ms);
             }
-            if turn == Turn::Go || self.policy == Policy::NoTurns {
+            if turn == DispatchDecision::Dispatch || self.policy == Policy::NoTurns {
                 has_sent = true;
                 self.send(emulator, prompt, &need, placement);
-            } else if turn == Turn::Wait {
+            } else if turn == DispatchDecision::Wait {
                 if !waiting.is_short(&self.turns) {
-                    before = before.with(own);
+                    before = before.with_score(own);
                     let judged = Judged {
                         score: own,
                         at_ms: now_ms,
@@ -389,7 +393,7 @@
         let own = |wrote: &&Wrote| self.placed.contains_key(&wrote.prompt);
         for wrote in seen.wrote.iter().filter(own) {
             let key = EndpointKey(wrote.engine as u32);
-            self.board.event(key, wrote.at_ms);
+            self.board.record_stream_event(key, wrote.at_ms);
         }
         for prompt in &seen.started {
             let Some(placed) = self.placed.get(prompt) else {
@@ -397,14 +401,14 @@
             };
             self.has_freed |= !placed.parts.is_empty();
             for (key, part) in &placed.parts {
-                self.board.let_go(*key, part);
+                self.board.remove_own(*key, part);
             }
         }
         for prompt in &seen.ended {
             if let Some(placed) = self.placed.remove(prompt) {
                 self.has_freed |= !placed.placement.helpers.is_empty();
                 for (key, held) in &placed.rest {
-                    self.board.let_go(*key, held);
+                    self.board.remove_own(*key, held);
                 }
             }
         }
@@ -414,57 +418,58 @@
         // Nobody else takes it between choice and dispatch.
         let taken = self
             .limits
-            .permit(Life(u64::from(placement.first.0)), emulator.now_ms);
+            .permit(Life(u64::from(placement.lead.0)), emulator.now_ms);
         assert!(taken.is_ok(), "{taken:?}");
-        if let Some(band) = turn::band(need, &emulator.model, &self.turns) {
-            self.lengths.sent(band, emulator.now_ms);
+        if let Some(band) = dispatch::length_band(need, &emulator.model, &self.turns) {
+            self.lengths.count_sent(band, emulator.now_ms);
         }
-        let memory = |tokens: u64| Held {
+        let memory = |tokens: u64| EndpointLoad {
             memory_tokens: tokens as u32,
-            ..Held::default()
+            ..EndpointLoad::default()
         };
-        let reserves = placement.reserves.iter();
-        let mut rest: Vec<(EndpointKey, Held)> = reserves
+        let reserves = placement.reservations.iter();
+        let mut rest: Vec<(EndpointKey, EndpointLoad)> = reserves
             .map(|reserve| (reserve.endpoint, memory(reserve.tokens)))
             .collect();
-        let reserved: u64 = placement.reserves.iter().map(|r| r.tokens).sum();
+        let reserved: u64 = placement.reservations.iter().map(|r| r.tokens).sum();
         let mut writer = memory(need.memory_tokens().saturating_sub(reserved));
         let is_long = is_long(need, &emulator.model, &self.options);
-        let passes = emulator.model.passes(need.expected_tokens);
-        let units = need.units(&emulator.model);
-        let stream = Streams::one(need.pause_ms, is_long, units, passes)
+        let passes = emulator.model.passes_for(need.expected_tokens);
+        let units = need.worth_units(&emulator.model);
+        let stream = StreamGroup::single(need.pause_ms, is_long, units, passes)
             .with_patience(need.patience_ms)
             .with_slack(need.slack_share(&emulator.model, placement.first_token_ms));
         writer.streams = vec![stream];
-        rest.push((placement.first, writer));
-        let mut readers = vec![placement.first];
+        rest.push((placement.lead, writer));
+        let mut readers = vec![placement.lead];
         readers.extend(&placement.helpers);
         for key in &readers {
-            self.board.read(*key, emulator.now_ms, placement.read_ms);
+            self.board
+                .add_prefill(*key, emulator.now_ms, placement.prefill_ms);
             self.fresh_reads.push(FreshRead {
                 endpoint: *key,
-                read_ms: placement.read_ms,
-                reads: match (readers.len(), *key == placement.first) {
-                    (1, _) => Reads::Whole,
-                    (_, true) => Reads::FirstPart,
-                    (_, false) => Reads::Part,
+                read_ms: placement.prefill_ms,
+                reads: match (readers.len(), *key == placement.lead) {
+                    (1, _) => PrefillPart::Whole,
+                    (_, true) => PrefillPart::FirstPart,
+                    (_, false) => PrefillPart::Part,
                 },
             });
         }
         for (key, held) in &rest {
-            self.board.hold(*key, held);
+            self.board.add_own(*key, held);
             self.fresh_held.push((*key, held.clone()));
         }
-        let part = Held {
+        let part = EndpointLoad {
             parts: 1,
             late_parts: u16::from(placement.is_late),
-            shared_read_ms: placement.read_ms as u32,
-            ..Held::default()
+            shared_read_ms: placement.prefill_ms as u32,
+            ..EndpointLoad::default()
         };
         let mut parts = Vec::new();
         for key in &readers {
             if readers.len() > 1 {
-                self.board.hold(*key, &part);
+                self.board.add_own(*key, &part);
                 self.fresh_held.push((*key, part.clone()));
                 parts.push((*key, part.clone()));
             }
@@ -482,16 +487,16 @@
     /// The engines that read a prompt, the one that writes first.
     pub(super) fn readers(&self, prompt: usize) -> Vec<usize> {
         let placement = &self.placed[&prompt].placement;
-        let mut readers = vec![placement.first.0 as usize];
+        let mut readers = vec![placement.lead.0 as usize];
         readers.extend(placement.helpers.iter().map(|key| key.0 as usize));
         readers
     }
 
     /// Who goes first among the prompts that wait here, as last judged.
-    pub(super) fn first_waiting(&self) -> Firsts {
+    pub(super) fn first_waiting(&self) -> QueueHeads {
         let judged = self.judged.values();
-        judged.fold(Firsts::default(), |firsts, judged| {
-            firsts.with(judged.score)
+        judged.fold(QueueHeads::default(), |firsts, judged| {
+            firsts.with_score(judged.score)
         })
     }
 
@@ -501,7 +506,7 @@
         let need = Self::need(&emulator.prompts[prompt], &emulator.model, now_ms);
         let load = |key: &&u32| {
             let key = EndpointKey(**key);
-            let running = self.board.held(key).running();
+            let running = self.board.load(key).running();
             self.board.backlog_ms(key, now_ms, 0.0) + 50.0 * f64::from(running)
         };
         let least = self
@@ -509,17 +514,17 @@
             .iter()
             .min_by(|a, b| load(a).total_cmp(&load(b)));
         let placement = Placement {
-            first: EndpointKey(*least.expect("there are engines")),
+            lead: EndpointKey(*least.expect("there are engines")),
             helpers: Vec::new(),
-            reserves: Vec::new(),
-            read_ms: emulator.model.read_ms(need.prompt_tokens),
+            reservations: Vec::new(),
+            prefill_ms: emulator.model.prefill_ms(need.prompt_tokens),
             backlog_ms: 0.0,
             hold_ms: 0.0,
             first_token_ms: 0.0,
             loss_units: 0.0,
             harm_units: 0.0,
             is_late: false,
-            scene: Scene::default(),
+            snapshot: FleetSnapshot::default(),
         };
         self.send(emulator, prompt, &need, placement);
     }
--- a/crates/mgs-placing/tests/emulator/mod.rs
+++ b/crates/mgs-placing/tests/emulator/mod.rs
@@ -225,7 +225,7 @@
     /// Reading without the steps, which passes add.
     fn bare_read_ms(&self, tokens: u64) -> f64 {
         let steps = tokens as f64 / self.model.chunk_tokens as f64;
-        self.model.read_ms(tokens) - steps * self.model.step_ms
+        self.model.prefill_ms(tokens) - steps * self.model.step_ms
     }
 
     fn begin_pass(&mut self, index: usize) {
--- a/crates/mgs-placing/tests/limits.rs
+++ b/crates/mgs-placing/tests/limits.rs
@@ -15,7 +15,7 @@
 use emulator::gateway::Limited;
 use emulator::gateway::Policy;
 use emulator::Phase;
-use mgs_placing::need::LATE_SHARE;
+use mgs_placing::need::LATE_LOSS_SHARE;
 
 /// Shares of prompts on time, and the worth that came of all: a prompt's size beside that of short ones.
 #[derive(Debug, Clone, Copy, Default)]
@@ -35,7 +35,7 @@
         owed += worth;
         earned += match (is_on_time, fate.is_whole) {
             (true, _) => worth,
-            (false, true) => worth * (1.0 - LATE_SHARE),
+            (false, true) => worth * (1.0 - LATE_LOSS_SHARE),
             (false, false) => 0.0,
         };
         let kind = match prompt.aim_ms {
--- a/crates/mgs-placing/tests/messages.rs
+++ b/crates/mgs-placing/tests/messages.rs
@@ -1,13 +1,13 @@
 //! What peers hold, told in whole and in short messages of which some are lost: the next whole one makes it right.
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Board;
-use mgs_placing::board::Held;
-use mgs_placing::board::PeerKey;
-use mgs_placing::board::Said;
-use mgs_placing::line::Firsts;
-use mgs_placing::share::Reads;
-use mgs_placing::streams::Streams;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::load_table::LoadTable;
+use mgs_placing::load_table::PeerKey;
+use mgs_placing::load_table::PeerReport;
+use mgs_placing::peer_message::PrefillPart;
+use mgs_placing::queue_order::QueueHeads;
+use mgs_placing::stream_group::StreamGroup;
 use proptest::collection::vec;
 use proptest::prelude::any;
 use proptest::prelude::Strategy;
@@ -17,11 +17,16 @@
 
 const ENGINES: u32 = 5;
 
-fn held(passes: u64) -> Held {
-    Held {
-        streams: vec![Streams::one(250.0, passes.is_multiple_of(2), 0.7, passes)],
+fn held(passes: u64) -> EndpointLoad {
+    EndpointLoad {
+        streams: vec![StreamGroup::single(
+            250.0,
+            passes.is_multiple_of(2),
+            0.7,
+            passes,
+        )],
         memory_tokens: 1_000 + passes as u32,
-        ..Held::default()
+        ..EndpointLoad::default()
     }
 }
 
@@ -57,18 +62,18 @@
     })
 }
 
-fn own(holds: &[(u32, u64)]) -> Vec<(EndpointKey, Held)> {
-    let mut board = Board::new();
+fn own(holds: &[(u32, u64)]) -> Vec<(EndpointKey, EndpointLoad)> {
+    let mut board = LoadTable::new();
     for (engine, passes) in holds {
-        board.hold(EndpointKey(*engine), &held(*passes));
+        board.add_own(EndpointKey(*engine), &held(*passes));
     }
-    board.own()
+    board.own_loads()
 }
 
 proptest! {
     #[test]
     fn a_whole_message_makes_good_what_was_lost(steps in vec(step(), 1..60)) {
-        let mut board = Board::new();
+        let mut board = LoadTable::new();
         let mut peer = PEER;
         let mut holds: Vec<(u32, u64)> = Vec::new();
         let mut now_ms = 0.0;
@@ -79,7 +84,7 @@
                     holds.push((engine, passes));
                     if !is_lost {
                         let more = vec![(EndpointKey(engine), held(passes))];
-                        board.hear_more(peer, now_ms, Firsts::default(), more);
+                        board.extend_peer(peer, now_ms, QueueHeads::default(), more);
                     }
                 }
                 Step::Ends if holds.is_empty() => {}
@@ -88,8 +93,8 @@
                 }
                 Step::TellsAll { is_lost: true } => {}
                 Step::TellsAll { is_lost: false } => {
-                    let said = Said { held: own(&holds), ..Said::default() };
-                    board.hear(peer, now_ms, said);
+                    let said = PeerReport { held: own(&holds), ..PeerReport::default() };
+                    board.replace_peer(peer, now_ms, said);
                 }
                 Step::Restarts => {
                     holds.clear();
@@ -99,16 +104,16 @@
         }
         // The earlier lives fall silent, and the last one tells all.
         now_ms += 2_000.0;
-        let said = Said { held: own(&holds), ..Said::default() };
-        board.hear(peer, now_ms, said);
+        let said = PeerReport { held: own(&holds), ..PeerReport::default() };
+        board.replace_peer(peer, now_ms, said);
         board.expire(now_ms);
-        let mut right = Board::new();
+        let mut right = LoadTable::new();
         for (engine, passes) in &holds {
-            right.hold(EndpointKey(*engine), &held(*passes));
+            right.add_own(EndpointKey(*engine), &held(*passes));
         }
         for engine in 0..ENGINES {
             let key = EndpointKey(engine);
-            let (mut told, mut held) = (board.held(key).clone(), right.held(key).clone());
+            let (mut told, mut held) = (board.load(key).clone(), right.load(key).clone());
             told.streams.sort_by_key(|streams| (streams.pause_ms, streams.is_long));
             held.streams.sort_by_key(|streams| (streams.pause_ms, streams.is_long));
             assert_eq!(told, held);
@@ -121,10 +126,10 @@
 #[test]
 fn what_a_peer_gave_up_to_read_is_not_waited_for() {
     let (engine, now_ms) = (EndpointKey(1), 1_000.0);
-    let mut board = Board::new();
+    let mut board = LoadTable::new();
     for _ in 0..9 {
-        board.read_elsewhere(engine, now_ms, 600.0, Reads::Part);
-        board.read_elsewhere(engine, now_ms, 600.0, Reads::GivenUp);
+        board.add_peer_prefill(engine, now_ms, 600.0, PrefillPart::Part);
+        board.add_peer_prefill(engine, now_ms, 600.0, PrefillPart::GivenUp);
     }
     assert_eq!(board.backlog_ms(engine, now_ms, 0.25), 0.0);
 }
--- a/crates/mgs-placing/tests/passes.rs
+++ b/crates/mgs-placing/tests/passes.rs
@@ -1,17 +1,17 @@
 //! When passes end, and what that says of a prompt's first token.
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Board;
-use mgs_placing::board::Held;
-use mgs_placing::passes::Passes;
-use mgs_placing::streams::Streams;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::load_table::LoadTable;
+use mgs_placing::pass_timeline::PassTimeline;
+use mgs_placing::stream_group::StreamGroup;
 use rstest::rstest;
 
 const PASS_MS: f64 = 50.0;
 
-fn passes() -> Passes {
-    let mut passes = Passes::default();
-    passes.know(PASS_MS);
+fn passes() -> PassTimeline {
+    let mut passes = PassTimeline::default();
+    passes.set_pass_ms(PASS_MS);
     passes
 }
 
@@ -20,41 +20,41 @@
 #[test]
 fn all_that_comes_within_a_pass_is_read_in_the_next() {
     let mut passes = passes();
-    passes.ended(0.0);
+    passes.record_event(0.0);
     for at_ms in 0..10 {
-        passes.read(f64::from(at_ms) * 4.0, 20.0, true);
+        passes.add_prefill(f64::from(at_ms) * 4.0, 20.0, true);
     }
     let left_ms = PASS_MS - 36.0;
     assert_eq!(passes.ready_ms(36.0, 20.0, true), left_ms + PASS_MS + 220.0);
-    assert_eq!(passes.next_ms(36.0), PASS_MS + 200.0);
+    assert_eq!(passes.next_pass_ms(36.0), PASS_MS + 200.0);
 }
 
 #[test]
 fn an_engine_without_streams_reads_at_once() {
     let mut passes = passes();
     assert_eq!(passes.ready_ms(0.0, 30.0, false), 30.0);
-    passes.read(0.0, 30.0, false);
+    passes.add_prefill(0.0, 30.0, false);
     assert_eq!(passes.ready_ms(10.0, 30.0, false), 50.0);
 }
 
 #[test]
 fn what_is_given_up_is_not_read() {
     let mut passes = passes();
-    passes.read(0.0, 30.0, false);
-    passes.unread(10.0, 30.0);
+    passes.add_prefill(0.0, 30.0, false);
+    passes.remove_prefill(10.0, 30.0);
     assert_eq!(passes.ready_ms(10.0, 0.0, false), 0.0);
-    passes.read(20.0, 30.0, true);
-    passes.unread(20.0, 30.0);
-    assert_eq!(passes.next_ms(20.0), PASS_MS);
+    passes.add_prefill(20.0, 30.0, true);
+    passes.remove_prefill(20.0, 30.0);
+    assert_eq!(passes.next_pass_ms(20.0), PASS_MS);
 }
 
 #[test]
 fn an_event_tells_when_a_pass_begins() {
     let mut passes = passes();
-    passes.ended(1_000.0);
+    passes.record_event(1_000.0);
     assert_eq!(passes.ready_ms(1_010.0, 0.0, true), 40.0 + PASS_MS);
     // Events of the other streams of the same pass change nothing.
-    passes.ended(1_003.0);
+    passes.record_event(1_003.0);
     assert_eq!(passes.ready_ms(1_010.0, 0.0, true), 40.0 + PASS_MS);
 }
 
@@ -72,10 +72,10 @@
     for step in 0..2_000 {
         now_ms += f64::from(step % 7);
         if step % 3 == 0 {
-            passes.read(now_ms, f64::from(step % 11), true);
+            passes.add_prefill(now_ms, f64::from(step % 11), true);
         }
         if event_each_ms > 0.0 && now_ms >= next_event_ms {
-            passes.ended(now_ms);
+            passes.record_event(now_ms);
             next_event_ms = now_ms + event_each_ms;
         }
         let ready_ms = passes.ready_ms(now_ms, 5.0, true);
@@ -89,33 +89,33 @@
 /// A gateway that never placed anything at a service doesn't know how long its passes are.
 #[test]
 fn nothing_known_is_no_error() {
-    let mut passes = Passes::default();
-    passes.ended(10.0);
-    passes.read(20.0, 30.0, true);
+    let mut passes = PassTimeline::default();
+    passes.record_event(10.0);
+    passes.add_prefill(20.0, 30.0, true);
     assert_eq!(passes.ready_ms(20.0, 5.0, true), 35.0);
 }
 
 #[test]
 fn streams_are_kept_by_the_limits_that_were_sent() {
-    let mut board = Board::new();
+    let mut board = LoadTable::new();
     let engine = EndpointKey(0);
-    let held = |pause_ms| Held {
-        streams: vec![Streams::one(pause_ms, false, 0.5, 30)],
-        ..Held::default()
+    let held = |pause_ms| EndpointLoad {
+        streams: vec![StreamGroup::single(pause_ms, false, 0.5, 30)],
+        ..EndpointLoad::default()
     };
-    board.hold(engine, &held(180.0));
-    board.hold(engine, &held(180.0));
-    board.hold(engine, &held(240.0));
+    board.add_own(engine, &held(180.0));
+    board.add_own(engine, &held(180.0));
+    board.add_own(engine, &held(240.0));
     let limits: Vec<(u32, u16)> = board
-        .held(engine)
+        .load(engine)
         .streams
         .iter()
         .map(|streams| (streams.pause_ms, streams.count))
         .collect();
     assert_eq!(limits, [(180, 2), (240, 1)]);
-    board.let_go(engine, &held(180.0));
-    board.let_go(engine, &held(240.0));
-    assert_eq!(board.held(engine).running(), 1);
-    board.let_go(engine, &held(180.0));
-    assert!(board.held(engine).is_empty());
+    board.remove_own(engine, &held(180.0));
+    board.remove_own(engine, &held(240.0));
+    assert_eq!(board.load(engine).running(), 1);
+    board.remove_own(engine, &held(180.0));
+    assert!(board.load(engine).is_empty());
 }
--- a/crates/mgs-placing/tests/slow.rs
+++ b/crates/mgs-placing/tests/slow.rs
@@ -1,17 +1,17 @@
 //! Engines that seem slow.
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Board;
-use mgs_placing::board::Held;
-use mgs_placing::choose::choose;
-use mgs_placing::choose::Lot;
+use mgs_placing::choose::choose_engines;
+use mgs_placing::choose::RandomDraw;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::load_table::LoadTable;
 use mgs_placing::model::EngineModel;
 use mgs_placing::need::Need;
 use mgs_placing::options;
-use mgs_placing::streams::Streams;
-use mgs_placing::way::Candidate;
-use mgs_placing::way::NoPlace;
-use mgs_placing::way::Placement;
+use mgs_placing::placement::Candidate;
+use mgs_placing::placement::Placement;
+use mgs_placing::placement::PlacementError;
+use mgs_placing::stream_group::StreamGroup;
 
 /// A short prompt with little time.
 const HURRIED: Need = Need {
@@ -19,40 +19,40 @@
     output_tokens: 200,
     expected_tokens: 200,
     pause_ms: 250.0,
-    full_aim_ms: 150.0,
-    aim_ms: 150.0,
-    left_ms: 799.0,
+    ttft_target_ms: 150.0,
+    ttft_left_ms: 150.0,
+    deadline_left_ms: 799.0,
     patience_ms: f64::INFINITY,
 };
 
-fn place(slowness: &[f64], board: &Board) -> Result<Placement, NoPlace> {
+fn place(slowness: &[f64], board: &LoadTable) -> Result<Placement, PlacementError> {
     let candidate = |(key, slowness): (usize, &f64)| Candidate {
         slowness: *slowness,
         ..Candidate::of(EndpointKey(key as u32))
     };
     let candidates: Vec<Candidate> = slowness.iter().enumerate().map(candidate).collect();
-    let options = options::Options::default();
+    let options = options::PlacementOptions::default();
     let model = EngineModel::default();
-    choose(
+    choose_engines(
         &HURRIED,
         &candidates,
         board,
         &model,
         &options,
-        Lot::default(),
+        RandomDraw::default(),
         0.0,
     )
 }
 
 /// Streams at each engine, so that a prompt waits for a pass.
-fn busy(engines: u32) -> Board {
-    let mut board = Board::new();
-    let streams = Held {
-        streams: vec![Streams::one(250.0, false, 1.0, 33); 6],
-        ..Held::default()
+fn busy(engines: u32) -> LoadTable {
+    let mut board = LoadTable::new();
+    let streams = EndpointLoad {
+        streams: vec![StreamGroup::single(250.0, false, 1.0, 33); 6],
+        ..EndpointLoad::default()
     };
     for key in 0..engines {
-        board.hold(EndpointKey(key), &streams);
+        board.add_own(EndpointKey(key), &streams);
     }
     board
 }
@@ -63,7 +63,7 @@
 fn slowness_alone_refuses_nobody() {
     let placement = place(&[20.0, 25.0, 30.0], &busy(3)).expect("a place");
     assert_eq!(
-        placement.first,
+        placement.lead,
         EndpointKey(0),
         "the one that seems least slow"
     );
@@ -73,26 +73,26 @@
 #[test]
 fn slowness_of_the_others_leaves_nobody_to_one_engine_alone() {
     let mut board = busy(3);
-    board.read(EndpointKey(1), 0.0, 900.0);
+    board.add_prefill(EndpointKey(1), 0.0, 900.0);
     let placement = place(&[20.0, 1.0, 30.0], &board).expect("a place");
-    assert_eq!(placement.first, EndpointKey(0));
+    assert_eq!(placement.lead, EndpointKey(0));
 }
 
 #[test]
 fn an_engine_that_seems_slow_is_passed_over_where_another_will_do() {
     let placement = place(&[20.0, 1.0, 30.0], &busy(3)).expect("a place");
-    assert_eq!(placement.first, EndpointKey(1));
+    assert_eq!(placement.lead, EndpointKey(1));
 }
 
 #[test]
 fn a_backlog_that_takes_too_long_refuses() {
     let mut board = busy(2);
     for key in 0..2 {
-        board.read(EndpointKey(key), 0.0, 5_000.0);
+        board.add_prefill(EndpointKey(key), 0.0, 5_000.0);
     }
     let refused = place(&[1.0, 1.0], &board);
     assert!(
-        matches!(refused, Err(NoPlace::TooLate { .. })),
+        matches!(refused, Err(PlacementError::TooLate { .. })),
         "{refused:?}"
     );
 }
--- a/crates/mgs-placing/tests/turn.rs
+++ b/crates/mgs-placing/tests/turn.rs
@@ -1,23 +1,23 @@
 //! Who is sent, who waits and who is refused.
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Board;
-use mgs_placing::board::Held;
-use mgs_placing::choose::choose;
-use mgs_placing::choose::Lot;
-use mgs_placing::line::Firsts;
-use mgs_placing::line::Score;
-use mgs_placing::line::NOBODY;
+use mgs_placing::choose::choose_engines;
+use mgs_placing::choose::RandomDraw;
+use mgs_placing::dispatch;
+use mgs_placing::dispatch::score;
+use mgs_placing::dispatch::DispatchDecision;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::load_table::LoadTable;
 use mgs_placing::model::EngineModel;
 use mgs_placing::need::Need;
 use mgs_placing::options;
-use mgs_placing::streams::Streams;
-use mgs_placing::turn;
-use mgs_placing::turn::score;
-use mgs_placing::turn::Turn;
-use mgs_placing::way::Candidate;
-use mgs_placing::way::NoPlace;
-use mgs_placing::way::Placement;
+use mgs_placing::placement::Candidate;
+use mgs_placing::placement::Placement;
+use mgs_placing::placement::PlacementError;
+use mgs_placing::queue_order::QueueHeads;
+use mgs_placing::queue_order::Score;
+use mgs_placing::queue_order::NONE_WAITING;
+use mgs_placing::stream_group::StreamGroup;
 use rstest::rstest;
 
 /// An audit of 600,000 tokens that can't be on time any more: 37 s of reading on one engine.
@@ -27,9 +27,9 @@
         output_tokens: 800,
         expected_tokens: 800,
         pause_ms: 1_000.0,
-        full_aim_ms: 3_000.0,
-        aim_ms: 100.0,
-        left_ms,
+        ttft_target_ms: 3_000.0,
+        ttft_left_ms: 100.0,
+        deadline_left_ms: left_ms,
         patience_ms: f64::INFINITY,
     }
 }
@@ -41,53 +41,59 @@
     }
 }
 
-fn place(need: &Need, board: &Board, engines: u32) -> Placement {
+fn place(need: &Need, board: &LoadTable, engines: u32) -> Placement {
     let candidate = |key| Candidate::of(EndpointKey(key));
     let candidates: Vec<Candidate> = (0..engines).map(candidate).collect();
-    let options = options::Options::default();
-    choose(
+    let options = options::PlacementOptions::default();
+    choose_engines(
         need,
         &candidates,
         board,
         &model(),
         &options,
-        Lot::default(),
+        RandomDraw::default(),
         0.0,
     )
     .expect("a place")
 }
 
-fn turn_of(need: &Need, placement: &Placement, best_other: Score) -> Turn {
-    let waiting = turn::Waiting {
+fn turn_of(need: &Need, placement: &Placement, best_other: Score) -> DispatchDecision {
+    let waiting = dispatch::WaitingPrompt {
         need,
         placement,
         model: &model(),
-        own: score(need, placement, &model(), 1.0, &turn::Options::default()),
-        others: Firsts::default().with(best_other),
+        score: score(
+            need,
+            placement,
+            &model(),
+            1.0,
+            &dispatch::DispatchOptions::default(),
+        ),
+        others: QueueHeads::default().with_score(best_other),
         ahead: 0,
         spare_per_s: 0.0,
         gateways: 1,
     };
-    turn::turn(&waiting, &turn::Options::default())
+    dispatch::decide(&waiting, &dispatch::DispatchOptions::default())
 }
 
 /// Engines that read for another late prompt; what they read is nearly done.
-fn board_with_late_parts(engines: u32) -> Board {
-    let mut board = Board::new();
-    let part = Held {
+fn board_with_late_parts(engines: u32) -> LoadTable {
+    let mut board = LoadTable::new();
+    let part = EndpointLoad {
         parts: 1,
         late_parts: 1,
-        ..Held::default()
+        ..EndpointLoad::default()
     };
     for key in 0..engines {
-        board.hold(EndpointKey(key), &part);
+        board.add_own(EndpointKey(key), &part);
     }
     board
 }
 
 #[test]
 fn a_late_prompt_gets_as_few_engines_as_end_in_time() {
-    let board = Board::new();
+    let board = LoadTable::new();
     let early = place(&late_audit(14_900.0), &board, 69);
     let last = place(&late_audit(7_000.0), &board, 69);
     assert!(early.is_late && last.is_late);
@@ -99,12 +105,12 @@
 const ON_TIME: Score = Score(500);
 
 #[rstest]
-#[case::while_others_can_be_on_time(ON_TIME, Turn::Wait)]
-#[case::alone(NOBODY, Turn::Go)]
+#[case::while_others_can_be_on_time(ON_TIME, DispatchDecision::Wait)]
+#[case::alone(NONE_WAITING, DispatchDecision::Dispatch)]
 fn a_late_prompt_lets_those_go_first_that_can_be_on_time(
     #[values((69, 0), (69, 4), (21, 0))] engines: (u32, u32),
     #[case] best_other: Score,
-    #[case] expected: Turn,
+    #[case] expected: DispatchDecision,
 ) {
     let (engines, late_engines) = engines;
     let board = board_with_late_parts(late_engines);
@@ -117,14 +123,14 @@
 }
 
 #[rstest]
-#[case::alone(69, 0, Turn::Go)]
-#[case::beside_others(69, 4, Turn::Wait)]
-#[case::alone_in_a_small_fleet(21, 0, Turn::Go)]
-#[case::not_alone_there(21, 4, Turn::Wait)]
+#[case::alone(69, 0, DispatchDecision::Dispatch)]
+#[case::beside_others(69, 4, DispatchDecision::Wait)]
+#[case::alone_in_a_small_fleet(21, 0, DispatchDecision::Dispatch)]
+#[case::not_alone_there(21, 4, DispatchDecision::Wait)]
 fn a_late_prompt_at_its_last_chance(
     #[case] engines: u32,
     #[case] late_engines: u32,
-    #[case] expected: Turn,
+    #[case] expected: DispatchDecision,
 ) {
     let board = board_with_late_parts(late_engines);
     let need = late_audit(7_000.0);
@@ -139,24 +145,27 @@
 fn a_late_prompt_that_can_t_end_in_time_is_refused(
     #[case] engines: u32,
     #[case] late_engines: u32,
-    #[values(NOBODY, ON_TIME)] best_other: Score,
+    #[values(NONE_WAITING, ON_TIME)] best_other: Score,
 ) {
     let board = board_with_late_parts(late_engines);
     let need = late_audit(4_000.0);
     let placement = place(&need, &board, engines);
-    assert_eq!(turn_of(&need, &placement, best_other), Turn::Refuse);
+    assert_eq!(
+        turn_of(&need, &placement, best_other),
+        DispatchDecision::Refuse
+    );
 }
 
 /// Streams whose clients leave after two seconds, on each engine.
-fn board_with_streams(engines: u32) -> Board {
-    let mut board = Board::new();
-    let streams = Held {
-        streams: vec![Streams::one(250.0, false, 1.0, 33).with_patience(2_000.0); 6],
-        ..Held::default()
+fn board_with_streams(engines: u32) -> LoadTable {
+    let mut board = LoadTable::new();
+    let streams = EndpointLoad {
+        streams: vec![StreamGroup::single(250.0, false, 1.0, 33).with_patience(2_000.0); 6],
+        ..EndpointLoad::default()
     };
     for key in 0..engines {
-        board.hold(EndpointKey(key), &streams);
-        board.know_pass(EndpointKey(key), model().bare_pass_ms());
+        board.add_own(EndpointKey(key), &streams);
+        board.set_pass_ms(EndpointKey(key), model().min_pass_ms());
     }
     board
 }
@@ -168,26 +177,32 @@
         ..late_audit(14_900.0)
     };
     let among_streams = place(&need, &board_with_streams(69), 69);
-    assert_eq!(turn_of(&need, &among_streams, NOBODY), Turn::Wait);
+    assert_eq!(
+        turn_of(&need, &among_streams, NONE_WAITING),
+        DispatchDecision::Wait
+    );
     let beside_them = place(&need, &board_with_streams(60), 69);
     assert!(beside_them.harm_units < 0.1, "{beside_them:?}");
-    assert_eq!(turn_of(&need, &beside_them, NOBODY), Turn::Go);
+    assert_eq!(
+        turn_of(&need, &beside_them, NONE_WAITING),
+        DispatchDecision::Dispatch
+    );
 }
 
 #[test]
 fn of_two_that_can_be_on_time_the_one_of_a_length_that_is_seldom_sent_goes_first() {
-    let board = Board::new();
+    let board = LoadTable::new();
     let long = Need {
         prompt_tokens: 400_000,
-        aim_ms: 4_000.0,
-        full_aim_ms: 4_000.0,
+        ttft_left_ms: 4_000.0,
+        ttft_target_ms: 4_000.0,
         ..late_audit(14_900.0)
     };
     let shorter = Need {
         prompt_tokens: 150_000,
         ..long
     };
-    let options = turn::Options::default();
+    let options = dispatch::DispatchOptions::default();
     let score_of = |need: &Need, sent_ratio: f64| {
         score(
             need,
@@ -203,10 +218,10 @@
 
 #[test]
 fn late_prompts_have_a_line_of_their_own() {
-    let board = Board::new();
+    let board = LoadTable::new();
     let late = late_audit(14_900.0);
     let on_time = Need {
-        aim_ms: 4_000.0,
+        ttft_left_ms: 4_000.0,
         prompt_tokens: 150_000,
         ..late
     };
@@ -216,14 +231,14 @@
             &place(need, &board, 69),
             &model(),
             1.0,
-            &turn::Options::default(),
+            &dispatch::DispatchOptions::default(),
         )
     };
-    let firsts = Firsts::default()
-        .with(score_of(&on_time))
-        .with(score_of(&late));
-    assert_eq!(firsts.in_line_of(score_of(&late)), score_of(&late));
-    assert_eq!(firsts.in_line_of(score_of(&on_time)), score_of(&on_time));
+    let firsts = QueueHeads::default()
+        .with_score(score_of(&on_time))
+        .with_score(score_of(&late));
+    assert_eq!(firsts.head_for(score_of(&late)), score_of(&late));
+    assert_eq!(firsts.head_for(score_of(&on_time)), score_of(&on_time));
 }
 
 /// Thirteen waiting prompts were refused as full within 0.13 s when short ones came, with three quarters of the memory
@@ -237,31 +252,31 @@
     };
     let candidate = |key| Candidate::of(EndpointKey(key));
     let candidates: Vec<Candidate> = (0..69).map(candidate).collect();
-    let mut board = Board::new();
-    let streams = Held {
-        streams: vec![Streams::one(250.0, false, 0.5, 33); 7],
+    let mut board = LoadTable::new();
+    let streams = EndpointLoad {
+        streams: vec![StreamGroup::single(250.0, false, 0.5, 33); 7],
         memory_tokens: 60_000,
-        ..Held::default()
+        ..EndpointLoad::default()
     };
     for key in 0..69 {
-        board.hold(EndpointKey(key), &streams);
+        board.add_own(EndpointKey(key), &streams);
     }
     let need = Need {
         prompt_tokens: 500_000,
-        aim_ms: -2_000.0,
+        ttft_left_ms: -2_000.0,
         ..late_audit(14_900.0)
     };
-    let options = options::Options::default();
-    let placed = choose(
+    let options = options::PlacementOptions::default();
+    let placed = choose_engines(
         &need,
         &candidates,
         &board,
         &model,
         &options,
-        Lot::default(),
+        RandomDraw::default(),
         0.0,
     );
-    let is_full = matches!(placed, Err(NoPlace::Full { .. }));
+    let is_full = matches!(placed, Err(PlacementError::Full { .. }));
     assert!(!is_full, "{placed:?}");
 }
 
@@ -275,20 +290,23 @@
     #[case] expected: bool,
 ) {
     let need = Need {
-        aim_ms: 3_000.0,
+        ttft_left_ms: 3_000.0,
         ..late_audit(14_900.0)
     };
-    let placement = place(&need, &Board::new(), 69);
-    let options = turn::Options::default();
-    let waiting = turn::Waiting {
+    let placement = place(&need, &LoadTable::new(), 69);
+    let options = dispatch::DispatchOptions::default();
+    let waiting = dispatch::WaitingPrompt {
         need: &need,
         placement: &placement,
         model: &model(),
-        own: score(&need, &placement, &model(), 1.0, &options),
-        others: Firsts::default().with(ON_TIME),
+        score: score(&need, &placement, &model(), 1.0, &options),
+        others: QueueHeads::default().with_score(ON_TIME),
         ahead: 0,
         spare_per_s: 0.0,
         gateways: 1,
     };
-    assert_eq!(turn::gives_back(&waiting, host_left_ms, &options), expected);
+    assert_eq!(
+        dispatch::should_return_to_client(&waiting, host_left_ms, &options),
+        expected
+    );
 }
--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -15,9 +15,9 @@
 use mgs_backpressure::told::Told;
 use mgs_backpressure::told::Word;
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::share::AdviceAt;
-use mgs_placing::share::Beacon;
-use mgs_placing::share::LimitWord;
+use mgs_placing::peer_message::AdviceAt;
+use mgs_placing::peer_message::LimitStatement;
+use mgs_placing::peer_message::PeerMessage;
 
 use crate::core::Core;
 use crate::dialect::Ask;
@@ -149,7 +149,7 @@
     pub(crate) fn advice_to_tell(&self, is_whole: bool) -> Vec<AdviceAt> {
         let now_ms = self.now_ms();
         let told = self.backpressure.borrow_mut().take_told(is_whole, now_ms);
-        let word_at = |word: Word| LimitWord {
+        let word_at = |word: Word| LimitStatement {
             per_s_thousandths: word.per_s.map(|per_s| (per_s * 1e3) as u64),
             age_ms: (now_ms - word.at_ms).max(0.0) as u32,
         };
@@ -163,7 +163,7 @@
     }
 
     /// Takes what a peer says of endpoints.
-    pub(crate) fn hear_peer_advice(&self, beacon: &Beacon) {
+    pub(crate) fn hear_peer_advice(&self, beacon: &PeerMessage) {
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
         table.hear_clock(beacon.clock_ms as f64, now_ms);
@@ -194,7 +194,7 @@
 }
 
 /// A peer's word of a limit, by this process's clock.
-fn heard_word(word: &LimitWord, now_ms: f64) -> Word {
+fn heard_word(word: &LimitStatement, now_ms: f64) -> Word {
     let per_s = word.per_s_thousandths.map(|per_s| per_s as f64 / 1e3);
     // A limit that was heard while its end was on the way goes before that.
     let on_the_way_ms = if per_s.is_none() { ON_THE_WAY_MS } else { 0 };
--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -8,15 +8,15 @@
 
 use mgs_backpressure::table::Table;
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Board;
-use mgs_placing::board::Held;
-use mgs_placing::board::ZoneKey;
-use mgs_placing::lengths::Band;
-use mgs_placing::lengths::Lengths;
-use mgs_placing::line::Firsts;
-use mgs_placing::line::Score;
-use mgs_placing::share::Reads;
-use mgs_placing::spare::Spare;
+use mgs_placing::length_counts::LengthBand;
+use mgs_placing::length_counts::LengthCounter;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::load_table::LoadTable;
+use mgs_placing::load_table::ZoneKey;
+use mgs_placing::peer_message::PrefillPart;
+use mgs_placing::queue_order::QueueHeads;
+use mgs_placing::queue_order::Score;
+use mgs_placing::spare_slots::SpareSlotRate;
 use mgs_routing::outlier::Outliers;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -44,7 +44,7 @@
 pub(crate) struct FreshRead {
     pub(crate) endpoint: EndpointKey,
     pub(crate) read_ms: f64,
-    pub(crate) reads: Reads,
+    pub(crate) reads: PrefillPart,
 }
 
 /// The shared state.
@@ -52,10 +52,10 @@
     pub(crate) options: Options,
     pub(crate) dialect: Box<dyn Dialect>,
     pub(crate) published: Arc<Published>,
-    pub(crate) board: RefCell<Board>,
+    pub(crate) board: RefCell<LoadTable>,
     pub(crate) fresh_reads: RefCell<Vec<FreshRead>>,
     /// What this gateway holds more since peers were last told.
-    pub(crate) fresh_held: RefCell<Vec<(EndpointKey, Held)>>,
+    pub(crate) fresh_held: RefCell<Vec<(EndpointKey, EndpointLoad)>>,
     /// Whether peers are to be told all that this gateway holds at once.
     pub(crate) whole_wanted: Cell<bool>,
     /// Wakes the one who tells peers: something was placed, or the line has changed.
@@ -64,9 +64,9 @@
     pub(crate) waiting: RefCell<HashMap<u64, Score>>,
     /// Short prompts that wait here for a spare place, by number.
     pub(crate) waiting_for_spare: RefCell<BTreeSet<u64>>,
-    pub(crate) spare: RefCell<Spare>,
+    pub(crate) spare: RefCell<SpareSlotRate>,
     /// How often long prompts of each length came here and were sent.
-    pub(crate) lengths: RefCell<Lengths>,
+    pub(crate) lengths: RefCell<LengthCounter>,
     pub(crate) outliers: Outliers,
     /// Endpoints that refuse to read parts of others' prompts.
     pub(crate) helpers: RefCell<Helpers>,
@@ -108,7 +108,7 @@
     /// An endpoint refused to help with a prompt; answers why, as far as it shows. `is_reserved`: whether memory was
     /// reserved there for it.
     pub(crate) fn help_refused(&self, endpoint: &Endpoint, is_reserved: bool) -> Reason {
-        let parts = u32::from(self.board.borrow().held(endpoint.key).parts);
+        let parts = u32::from(self.board.borrow().load(endpoint.key).parts);
         let reason = match (parts >= endpoint.facts.slots, is_reserved) {
             (true, _) => Reason::Busy,
             (false, true) => Reason::Reservation,
@@ -144,9 +144,11 @@
     }
 
     /// Reading was placed by this gateway.
-    pub(crate) fn place_read(&self, endpoint: EndpointKey, read_ms: f64, reads: Reads) {
+    pub(crate) fn place_read(&self, endpoint: EndpointKey, read_ms: f64, reads: PrefillPart) {
         let now_ms = self.now_ms();
-        self.board.borrow_mut().read(endpoint, now_ms, read_ms);
+        self.board
+            .borrow_mut()
+            .add_prefill(endpoint, now_ms, read_ms);
         self.fresh_reads.borrow_mut().push(FreshRead {
             endpoint,
             read_ms,
@@ -157,7 +159,7 @@
 
     /// Whether telling all peers at each change costs little.
     pub(crate) fn has_few_peers(&self) -> bool {
-        self.board.borrow().peers() < FEW_PEERS
+        self.board.borrow().peer_count() < FEW_PEERS
     }
 
     /// Endpoints are free again for whom peers may wait.
@@ -167,17 +169,19 @@
     }
 
     /// Who goes first among the prompts that wait here.
-    pub(crate) fn first_waiting(&self) -> Firsts {
+    pub(crate) fn first_waiting(&self) -> QueueHeads {
         let waiting = self.waiting.borrow();
         let scores = waiting.values();
-        scores.fold(Firsts::default(), |firsts, score| firsts.with(*score))
+        scores.fold(QueueHeads::default(), |firsts, score| {
+            firsts.with_score(*score)
+        })
     }
 
     /// How often prompts of a length are sent beside all others, by all gateways.
-    pub(crate) fn sent_ratio(&self, band: Band) -> f64 {
+    pub(crate) fn sent_ratio(&self, band: LengthBand) -> f64 {
         let mut counts = self.lengths.borrow().counts(self.now_ms());
-        self.board.borrow().add_lengths(&mut counts);
-        counts.ratio(band)
+        self.board.borrow().add_length_counts(&mut counts);
+        counts.sent_ratio(band)
     }
 
     /// How many gateways share what all may spend, if that is known.
--- a/crates/mgs-relay/src/dialect.rs
+++ b/crates/mgs-relay/src/dialect.rs
@@ -38,7 +38,7 @@
     pub fn size_tokens(&self) -> u64 {
         let answer = self.expected_tokens.unwrap_or(self.output_tokens);
         let answer = answer.min(self.output_tokens);
-        need::size(self.prompt_tokens as f64, answer as f64) as u64
+        need::size_tokens(self.prompt_tokens as f64, answer as f64) as u64
     }
 }
 
--- a/crates/mgs-relay/src/grant.rs
+++ b/crates/mgs-relay/src/grant.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Held;
-use mgs_placing::share::Reads;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::peer_message::PrefillPart;
 
 use crate::core::Core;
 use crate::core::FreshRead;
@@ -12,7 +12,7 @@
 /// What one dispatch holds.
 pub(crate) struct Grant {
     core: Rc<Core>,
-    held: Vec<(EndpointKey, Held)>,
+    held: Vec<(EndpointKey, EndpointLoad)>,
     /// Reading that isn't known to be done, in milliseconds at each endpoint.
     read_ms: f64,
     readers: Vec<EndpointKey>,
@@ -24,7 +24,7 @@
     /// Holds the places and announces the reading.
     pub(crate) fn take(
         core: &Rc<Core>,
-        held: Vec<(EndpointKey, Held)>,
+        held: Vec<(EndpointKey, EndpointLoad)>,
         readers: Vec<EndpointKey>,
         read_ms: f64,
     ) -> Self {
@@ -34,7 +34,7 @@
             core.place_read(*endpoint, read_ms, reads);
         }
         for (endpoint, what) in &held {
-            core.board.borrow_mut().hold(*endpoint, what);
+            core.board.borrow_mut().add_own(*endpoint, what);
             core.fresh_held.borrow_mut().push((*endpoint, what.clone()));
         }
         core.board_changed.notify_one();
@@ -52,9 +52,9 @@
     pub(crate) fn first_token(&mut self) {
         self.readers.clear();
         let mut board = self.core.board.borrow_mut();
-        let is_part = |held: &Held| held.parts > 0;
+        let is_part = |held: &EndpointLoad| held.parts > 0;
         for (endpoint, held) in self.held.iter().filter(|(_, held)| is_part(held)) {
-            board.let_go(*endpoint, held);
+            board.remove_own(*endpoint, held);
         }
         self.held.retain(|(_, held)| !is_part(held));
         drop(board);
@@ -70,12 +70,16 @@
 }
 
 /// What one of `readers` endpoints reads of a prompt.
-fn reads(held: &[(EndpointKey, Held)], readers: usize, endpoint: EndpointKey) -> Reads {
-    let writes = |(key, held): &(EndpointKey, Held)| *key == endpoint && held.running() > 0;
+fn reads(
+    held: &[(EndpointKey, EndpointLoad)],
+    readers: usize,
+    endpoint: EndpointKey,
+) -> PrefillPart {
+    let writes = |(key, held): &(EndpointKey, EndpointLoad)| *key == endpoint && held.running() > 0;
     match (readers, held.iter().any(writes)) {
-        (1, _) => Reads::Whole,
-        (_, true) => Reads::FirstPart,
-        (_, false) => Reads::Part,
+        (1, _) => PrefillPart::Whole,
+        (_, true) => PrefillPart::FirstPart,
+        (_, false) => PrefillPart::Part,
     }
 }
 
@@ -84,16 +88,16 @@
         let now_ms = self.core.now_ms();
         let mut board = self.core.board.borrow_mut();
         for (endpoint, held) in &self.held {
-            board.let_go(*endpoint, held);
+            board.remove_own(*endpoint, held);
         }
         for endpoint in &self.readers {
-            board.correct(*endpoint, now_ms, self.read_ms);
+            board.correct_prefill(*endpoint, now_ms, self.read_ms);
         }
         drop(board);
         let given_up = self.readers.iter().map(|endpoint| FreshRead {
             endpoint: *endpoint,
             read_ms: self.read_ms,
-            reads: Reads::GivenUp,
+            reads: PrefillPart::GivenUp,
         });
         self.core.fresh_reads.borrow_mut().extend(given_up);
         self.tell_freed();
--- a/crates/mgs-relay/src/memory.rs
+++ b/crates/mgs-relay/src/memory.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http::Request;
 use http::StatusCode;
-use mgs_placing::way::Reserve;
+use mgs_placing::placement::MemoryReservation;
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
@@ -55,7 +55,11 @@
     }
 
     /// Sets memory aside at all of these engines, or at none.
-    pub(crate) async fn take(core: &Rc<Core>, fleet: &Fleet, reserves: &[Reserve]) -> Option<Self> {
+    pub(crate) async fn take(
+        core: &Rc<Core>,
+        fleet: &Fleet,
+        reserves: &[MemoryReservation],
+    ) -> Option<Self> {
         let mut all = Self::none(core);
         let mut calls = Vec::new();
         for reserve in reserves {
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Board;
-use mgs_placing::board::Held;
-use mgs_placing::board::PeerKey;
-use mgs_placing::board::Said;
-use mgs_placing::board::PEER_SILENCE_MS;
-use mgs_placing::share::Beacon;
-use mgs_placing::share::Knows;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::load_table::LoadTable;
+use mgs_placing::load_table::PeerKey;
+use mgs_placing::load_table::PeerReport;
+use mgs_placing::load_table::PEER_SILENCE_MS;
+use mgs_placing::peer_message::PeerMessage;
+use mgs_placing::peer_message::TopicVersion;
 use mgs_quarantine::table::Told;
 use serde::Deserialize;
 use serde::Serialize;
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Message {
     /// What it has placed and knows of the store.
-    Beacon(Box<Beacon>),
+    Beacon(Box<PeerMessage>),
     /// Requests that have crashed endpoints.
     Crashes {
         /// Incarnation of the sender.
@@ -85,8 +85,8 @@
     }
 
     /// Incarnations of the peers that are heard and stay.
-    fn staying(&self, board: &Board) -> Vec<u64> {
-        let stay = |peer: &&PeerKey| board.is_heard(**peer) && !self.leaving.contains(peer);
+    fn staying(&self, board: &LoadTable) -> Vec<u64> {
+        let stay = |peer: &&PeerKey| board.knows_peer(**peer) && !self.leaving.contains(peer);
         let mut staying: Vec<u64> = self.sequences.keys().filter(stay).map(|p| p.0).collect();
         staying.sort_unstable();
         staying
@@ -143,7 +143,7 @@
     }
 }
 
-fn hear(core: &Core, known: &RefCell<Known>, from: SocketAddr, beacon: &Beacon) {
+fn hear(core: &Core, known: &RefCell<Known>, from: SocketAddr, beacon: &PeerMessage) {
     if beacon.from == core.incarnation {
         return;
     }
@@ -183,7 +183,7 @@
     let fleet = core.published.fleet();
     let by_hash = core.published.endpoint_hashes();
     let key_of = |hash: u64| by_hash.get(&hash).copied();
-    let held: Vec<(EndpointKey, Held)> = beacon
+    let held: Vec<(EndpointKey, EndpointLoad)> = beacon
         .held
         .iter()
         .filter_map(|at| Some((key_of(at.endpoint)?, at.held.clone())))
@@ -192,7 +192,7 @@
     for read in &beacon.reads {
         if let Some(key) = key_of(read.endpoint).filter(|key| fleet.by_key.contains_key(key)) {
             let read_ms = f64::from(read.read_ms);
-            board.read_elsewhere(key, now_ms, read_ms, read.reads);
+            board.add_peer_prefill(key, now_ms, read_ms, read.reads);
         }
     }
     for refused in &beacon.refusals {
@@ -203,23 +203,23 @@
         }
     }
     if !beacon.is_whole {
-        board.hear_more(peer, now_ms, beacon.waiting, held);
+        board.extend_peer(peer, now_ms, beacon.waiting, held);
         return;
     }
-    let said = Said {
+    let said = PeerReport {
         zone: beacon.zone,
         waiting: beacon.waiting,
         lengths: beacon.lengths.clone(),
         held,
     };
-    board.hear(peer, now_ms, said);
+    board.replace_peer(peer, now_ms, said);
 }
 
 /// Takes what a peer knows of the store.
-fn hear_knows(core: &Core, from: SocketAddr, beacon: &Beacon) {
+fn hear_knows(core: &Core, from: SocketAddr, beacon: &PeerMessage) {
     let published = &core.published;
     let now_ms = core.now_whole_ms();
-    let hear = |belief: &Belief, knows: Option<Knows>| {
+    let hear = |belief: &Belief, knows: Option<TopicVersion>| {
         let Some(knows) = knows else {
             return;
         };
@@ -259,7 +259,7 @@
         let now_ms = core.now_ms();
         let (gone, peers) = {
             let mut board = core.board.borrow_mut();
-            (board.expire(now_ms), board.peers())
+            (board.expire(now_ms), board.peer_count())
         };
         look_at_beliefs(&core, &known.borrow());
         let staying = known.borrow().staying(&core.board.borrow());
--- a/crates/mgs-relay/src/place.rs
+++ b/crates/mgs-relay/src/place.rs
@@ -5,15 +5,15 @@
 use std::sync::Arc;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Held;
 use mgs_placing::choose::is_long;
-use mgs_placing::lengths::Band;
+use mgs_placing::dispatch;
+use mgs_placing::length_counts::LengthBand;
+use mgs_placing::load_table::EndpointLoad;
 use mgs_placing::model::EngineModel;
 use mgs_placing::need::Need;
+use mgs_placing::placement::Placement;
 use mgs_placing::plain;
-use mgs_placing::streams::Streams;
-use mgs_placing::turn;
-use mgs_placing::way::Placement;
+use mgs_placing::stream_group::StreamGroup;
 use mgs_routing::outlier::Standing;
 
 use crate::core::Core;
@@ -125,27 +125,27 @@
     let candidate = |endpoint: &Arc<Endpoint>| plain::Candidate {
         key: endpoint.key,
         slots: endpoint.facts.slots,
-        near: endpoint.facts.zone == core.options.zone,
-        trial: on_trial(core, endpoint),
+        in_own_zone: endpoint.facts.zone == core.options.zone,
+        on_trial: on_trial(core, endpoint),
     };
     let candidates: Vec<plain::Candidate> = endpoints.iter().map(candidate).collect();
-    let chosen = plain::choose(&candidates, &core.board.borrow());
+    let chosen = plain::choose_endpoint(&candidates, &core.board.borrow());
     let endpoint = chosen
         .and_then(|key| fleet.by_key.get(&key))
         .ok_or_else(no_endpoint)?;
     log::info!(
         request_id = request_id,
         endpoint = endpoint.facts.incarnation.id,
-        running_calls = core.board.borrow().held(endpoint.key).calls,
+        running_calls = core.board.borrow().load(endpoint.key).calls,
         usable_endpoints = candidates.len(),
         shut_endpoints = present.len() - open.len(),
         tried = tried.len(),
         fleet_age_ms = core.published.fleet_age_ms().unwrap_or(u64::MAX);
         "placed"
     );
-    let held = Held {
+    let held = EndpointLoad {
         calls: 1,
-        ..Held::default()
+        ..EndpointLoad::default()
     };
     let grant = Grant::take(core, vec![(endpoint.key, held)], Vec::new(), 0.0);
     Ok(Placed {
@@ -178,20 +178,20 @@
     need: impl Fn() -> Need,
 ) -> Result<Placed, Refusal> {
     let core = prompt.core;
-    let band = turn::band(&need(), prompt.model, &core.options.turns);
+    let band = dispatch::length_band(&need(), prompt.model, &core.options.turns);
     if let Some(band) = band {
-        core.lengths.borrow_mut().asked(band, core.now_ms());
+        core.lengths.borrow_mut().count_asked(band, core.now_ms());
     }
     let placed = place_in_turn(prompt, band, need).await?;
     if let Some(band) = band {
-        core.lengths.borrow_mut().sent(band, core.now_ms());
+        core.lengths.borrow_mut().count_sent(band, core.now_ms());
     }
     Ok(placed)
 }
 
 async fn place_in_turn(
     prompt: &Prompt<'_>,
-    band: Option<Band>,
+    band: Option<LengthBand>,
     need: impl Fn() -> Need,
 ) -> Result<Placed, Refusal> {
     let core = prompt.core;
@@ -201,15 +201,15 @@
         place_log::placed(core, prompt.request_id, &turned);
         let (need, placement, fleet) = (turned.need, turned.placement, turned.fleet);
         let grant = hold(prompt, &need, &placement);
-        if placement.reserves.is_empty() {
+        if placement.reservations.is_empty() {
             let none = Reservations::none(core);
             return placed(&fleet, placement, grant, none);
         }
-        if let Some(taken) = Reservations::take(core, &fleet, &placement.reserves).await {
+        if let Some(taken) = Reservations::take(core, &fleet, &placement.reservations).await {
             return placed(&fleet, placement, grant, taken);
         }
         // Whoever had no room has less than the board says.
-        avoided.push(placement.first);
+        avoided.push(placement.lead);
     }
     Err(Refusal::after(Fault::Full, wait::RETRY_AFTER_MIN_MS))
 }
@@ -218,37 +218,37 @@
     let core = prompt.core;
     let model = prompt.model;
     let is_long = is_long(need, model, &core.options.placing);
-    let passes = model.passes(need.expected_tokens);
-    let reserved: u64 = placement.reserves.iter().map(|r| r.tokens).sum();
+    let passes = model.passes_for(need.expected_tokens);
+    let reserved: u64 = placement.reservations.iter().map(|r| r.tokens).sum();
     let at_first = need.memory_tokens().saturating_sub(reserved);
-    let stream = Streams::one(need.pause_ms, is_long, need.units(model), passes)
+    let stream = StreamGroup::single(need.pause_ms, is_long, need.worth_units(model), passes)
         .with_patience(need.patience_ms)
         .with_slack(need.slack_share(model, placement.first_token_ms));
-    let writer = Held {
+    let writer = EndpointLoad {
         streams: vec![stream],
         memory_tokens: small(at_first),
-        ..Held::default()
+        ..EndpointLoad::default()
     };
-    let mut held = vec![(placement.first, writer)];
-    for reserve in &placement.reserves {
-        let memory = Held {
+    let mut held = vec![(placement.lead, writer)];
+    for reserve in &placement.reservations {
+        let memory = EndpointLoad {
             memory_tokens: small(reserve.tokens),
-            ..Held::default()
+            ..EndpointLoad::default()
         };
         held.push((reserve.endpoint, memory));
     }
     let mut readers = placement.helpers.clone();
-    readers.push(placement.first);
+    readers.push(placement.lead);
     if !placement.helpers.is_empty() {
-        let part = Held {
+        let part = EndpointLoad {
             parts: 1,
             late_parts: u16::from(placement.is_late),
-            shared_read_ms: placement.read_ms as u32,
-            ..Held::default()
+            shared_read_ms: placement.prefill_ms as u32,
+            ..EndpointLoad::default()
         };
         held.extend(readers.iter().map(|key| (*key, part.clone())));
     }
-    Grant::take(core, held, readers, placement.read_ms)
+    Grant::take(core, held, readers, placement.prefill_ms)
 }
 
 fn small(tokens: u64) -> u32 {
@@ -262,7 +262,7 @@
     reservations: Reservations,
 ) -> Result<Placed, Refusal> {
     let address_of = |key: &EndpointKey| fleet.by_key.get(key).map(|e| e.facts.address);
-    let first = fleet.by_key.get(&placement.first).ok_or_else(no_endpoint)?;
+    let first = fleet.by_key.get(&placement.lead).ok_or_else(no_endpoint)?;
     // Reservations are filled in turn, so their holders come first, as placed.
     let addresses: Vec<SocketAddr> = placement.helpers.iter().filter_map(address_of).collect();
     let helper = |address: SocketAddr| Helper {
--- a/crates/mgs-relay/src/place_log.rs
+++ b/crates/mgs-relay/src/place_log.rs
@@ -1,9 +1,9 @@
 //! The log lines on where prompts go: what decided it and how old that was.
 
+use mgs_placing::dispatch;
 use mgs_placing::need::Need;
-use mgs_placing::turn;
-use mgs_placing::way::Lack;
-use mgs_placing::way::NoPlace;
+use mgs_placing::placement::PlacementError;
+use mgs_placing::placement::Shortage;
 
 use crate::core::Core;
 use crate::fault::Refusal;
@@ -11,32 +11,32 @@
 use crate::wait::Turned;
 
 /// A short prompt waits for a place that others can do without.
-pub(crate) fn waits_for_place(prompt: &Prompt<'_>, asked: &turn::Waiting<'_>) {
+pub(crate) fn waits_for_place(prompt: &Prompt<'_>, asked: &dispatch::WaitingPrompt<'_>) {
     log::info!(
         request_id = prompt.request_id,
         prompt_tokens = asked.need.prompt_tokens,
-        aim_ms = asked.need.aim_ms as i64,
-        left_ms = asked.need.left_ms as u64,
+        aim_ms = asked.need.ttft_left_ms as i64,
+        left_ms = asked.need.deadline_left_ms as u64,
         ahead = asked.ahead,
         spare_per_s = asked.spare_per_s,
         gateways = asked.gateways,
-        places_taken_permille = asked.placement.scene.places_taken_permille,
+        places_taken_permille = asked.placement.snapshot.slots_taken_permille,
         predicted_first_token_ms = asked.placement.first_token_ms as u64;
         "waits for a place"
     );
 }
 
 /// A prompt waits for its turn among long ones.
-pub(crate) fn waits_for_turn(prompt: &Prompt<'_>, asked: &turn::Waiting<'_>) {
+pub(crate) fn waits_for_turn(prompt: &Prompt<'_>, asked: &dispatch::WaitingPrompt<'_>) {
     let placement = asked.placement;
     log::info!(
         request_id = prompt.request_id,
         prompt_tokens = asked.need.prompt_tokens,
-        left_ms = asked.need.left_ms as u64,
-        score = asked.own.0,
+        left_ms = asked.need.deadline_left_ms as u64,
+        score = asked.score.0,
         best_other_score = asked.best_other().0,
         engines_backlog_ms = placement.backlog_ms as u64,
-        room = placement.scene.room,
+        room = placement.snapshot.engines_for_long,
         predicted_first_token_ms = placement.first_token_ms as u64;
         "waits for its turn"
     );
@@ -51,16 +51,16 @@
 }
 
 impl Lacking {
-    fn of(no_place: &NoPlace) -> Self {
-        let NoPlace::Full { lack, .. } = no_place else {
+    fn of(no_place: &PlacementError) -> Self {
+        let PlacementError::Full { shortage: lack, .. } = no_place else {
             return Self::default();
         };
         match *lack {
-            Lack::Place => Self {
+            Shortage::Slot => Self {
                 what: "place",
                 ..Self::default()
             },
-            Lack::Memory {
+            Shortage::Memory {
                 needed_tokens,
                 engines_max,
             } => Self {
@@ -77,7 +77,7 @@
     prompt: &Prompt<'_>,
     need: &Need,
     usable: usize,
-    no_place: &NoPlace,
+    no_place: &PlacementError,
     refusal: &Refusal,
 ) {
     let core = prompt.core;
@@ -91,11 +91,11 @@
         engines_allowed = lack.engines_max,
         retry_after_ms = refusal.retry_after_ms.unwrap_or(0),
         prompt_tokens = need.prompt_tokens,
-        left_ms = need.left_ms as u64,
+        left_ms = need.deadline_left_ms as u64,
         usable_engines = usable,
         tried = prompt.tried.len(),
         waiting_here = core.waiting.borrow().len(),
-        peers = core.board.borrow().peers(),
+        peers = core.board.borrow().peer_count(),
         fleet_age_ms = core.published.fleet_age_ms().unwrap_or(u64::MAX);
         "not placed"
     );
@@ -105,7 +105,7 @@
 pub(crate) fn placed(core: &Core, request_id: &str, turned: &Turned) {
     let fleet = &turned.fleet;
     let (need, placement) = (&turned.need, &turned.placement);
-    let first = fleet.by_key.get(&placement.first);
+    let first = fleet.by_key.get(&placement.lead);
     let endpoint = first.map_or("gone", |endpoint| endpoint.facts.incarnation.id.as_str());
     let helpers: Vec<&str> = placement
         .helpers
@@ -117,7 +117,7 @@
         request_id = request_id,
         endpoint = endpoint,
         kind = "streaming",
-        aim_ms = need.full_aim_ms,
+        aim_ms = need.ttft_target_ms,
         pause_limit_ms = need.pause_ms,
         prompt_tokens = need.prompt_tokens,
         output_tokens = need.output_tokens,
@@ -126,23 +126,23 @@
         first_in_line_ms = turned.waited.first_ms,
         engines = placement.helpers.len() + 1,
         helpers = helpers.join(" "),
-        reservations = placement.reserves.len(),
-        read_ms = placement.read_ms as u64,
+        reservations = placement.reservations.len(),
+        read_ms = placement.prefill_ms as u64,
         hold_ms = placement.hold_ms as u64,
         predicted_first_token_ms = placement.first_token_ms as u64,
-        left_ms = need.left_ms as u64,
+        left_ms = need.deadline_left_ms as u64,
         loss_milliunits = (placement.loss_units * 1e3) as u64,
         harm_milliunits = (placement.harm_units * 1e3) as u64,
-        room = placement.scene.room,
-        usable_engines = placement.scene.engines,
-        engines_with_short_streams = placement.scene.with_short_streams,
-        engines_with_other_streams = placement.scene.with_other_streams,
-        engines_without_reading = placement.scene.without_reading,
-        engines_with_late_prompts = placement.scene.late_engines,
+        room = placement.snapshot.engines_for_long,
+        usable_engines = placement.snapshot.engines,
+        engines_with_short_streams = placement.snapshot.with_short_streams,
+        engines_with_other_streams = placement.snapshot.with_other_streams,
+        engines_without_reading = placement.snapshot.without_reading,
+        engines_with_late_prompts = placement.snapshot.late_engines,
         is_late = placement.is_late,
-        backlog_ms = placement.scene.backlog_ms,
+        backlog_ms = placement.snapshot.backlog_ms,
         fleet_age_ms = core.published.fleet_age_ms().unwrap_or(u64::MAX),
-        peers = core.board.borrow().peers();
+        peers = core.board.borrow().peer_count();
         "placed"
     );
 }
--- a/crates/mgs-relay/src/pursue.rs
+++ b/crates/mgs-relay/src/pursue.rs
@@ -244,9 +244,9 @@
             output_tokens: self.ask.output_tokens,
             expected_tokens: self.expected_tokens(),
             pause_ms: self.route.pause_ms as f64,
-            full_aim_ms,
-            aim_ms: full_aim_ms - waited_ms,
-            left_ms: self.left().as_secs_f64() * 1e3,
+            ttft_target_ms: full_aim_ms,
+            ttft_left_ms: full_aim_ms - waited_ms,
+            deadline_left_ms: self.left().as_secs_f64() * 1e3,
             patience_ms: self.route.patience_ms as f64,
         }
     }
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -12,12 +12,12 @@
 
 use displaydoc::Display;
 use mgs_backpressure::table::Table;
-use mgs_placing::board::Board;
-use mgs_placing::board::ZoneKey;
-use mgs_placing::lengths::Lengths;
+use mgs_placing::dispatch;
+use mgs_placing::length_counts::LengthCounter;
+use mgs_placing::load_table::LoadTable;
+use mgs_placing::load_table::ZoneKey;
 use mgs_placing::options;
-use mgs_placing::spare::Spare;
-use mgs_placing::turn;
+use mgs_placing::spare_slots::SpareSlotRate;
 use mgs_routing::outlier;
 use mgs_routing::outlier::Outliers;
 use rand::rngs::SysRng;
@@ -65,9 +65,9 @@
     /// after a second; asking another endpoint is sooner.
     pub connect_timeout_ms: u64,
     /// Placing of prompts.
-    pub placing: options::Options,
+    pub placing: options::PlacementOptions,
     /// Order among long prompts.
-    pub turns: turn::Options,
+    pub turns: dispatch::DispatchOptions,
     /// Endpoints that are passed over.
     pub outliers: outlier::Options,
     /// Requests that crash endpoints.
@@ -88,8 +88,8 @@
             ready_listen: any_port,
             peer_listen: any_port,
             connect_timeout_ms: 300,
-            placing: options::Options::default(),
-            turns: turn::Options::default(),
+            placing: options::PlacementOptions::default(),
+            turns: dispatch::DispatchOptions::default(),
             outliers: outlier::Options {
                 // An endpoint that went dark answers nothing; each request that finds out costs its
                 // client the time to connect elsewhere.
@@ -167,14 +167,14 @@
     Ok(Rc::new(Core {
         dialect,
         published,
-        board: RefCell::new(Board::new()),
+        board: RefCell::new(LoadTable::new()),
         fresh_reads: RefCell::new(Vec::new()),
         fresh_held: RefCell::new(Vec::new()),
         whole_wanted: Cell::new(false),
         board_changed: Notify::new(),
         waiting_for_spare: RefCell::new(BTreeSet::new()),
-        spare: RefCell::new(Spare::default()),
-        lengths: RefCell::new(Lengths::default()),
+        spare: RefCell::new(SpareSlotRate::default()),
+        lengths: RefCell::new(LengthCounter::default()),
         waiting: RefCell::new(HashMap::new()),
         outliers: Outliers::new(options.outliers),
         helpers: RefCell::new(Helpers::default()),
--- a/crates/mgs-relay/src/stream.rs
+++ b/crates/mgs-relay/src/stream.rs
@@ -227,7 +227,7 @@
         core.run_reached(self.pursuit.work, || self.reached());
         let now_ms = core.now_ms();
         let engine = self.placed.endpoint.key;
-        core.board.borrow_mut().event(engine, now_ms);
+        core.board.borrow_mut().record_stream_event(engine, now_ms);
         self.last_event_at = Instant::now();
     }
 
--- a/crates/mgs-relay/src/tell.rs
+++ b/crates/mgs-relay/src/tell.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Held;
-use mgs_placing::share::Beacon;
-use mgs_placing::share::HeldAt;
-use mgs_placing::share::Knows;
-use mgs_placing::share::ReadAt;
-use mgs_placing::share::RefusedAt;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::peer_message::LoadAt;
+use mgs_placing::peer_message::PeerMessage;
+use mgs_placing::peer_message::PrefillAt;
+use mgs_placing::peer_message::RefusalAt;
+use mgs_placing::peer_message::TopicVersion;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 use tokio::time::timeout_at;
@@ -82,15 +82,15 @@
         let core = &self.core;
         core.fresh_held.take();
         core.whole_wanted.set(false);
-        let mut beacon = Beacon {
+        let mut beacon = PeerMessage {
             is_whole: true,
             configuration: knows(core, core.published.configuration_belief()),
             endpoints: knows(core, core.published.endpoint_belief()),
-            lengths: core.lengths.borrow().told(core.now_ms()),
+            lengths: core.lengths.borrow().band_counts(core.now_ms()),
             gateways: sharing(core),
             ..next
         };
-        let held = core.board.borrow().own();
+        let held = core.board.borrow().own_loads();
         add_held(&mut beacon, &core.published.fleet(), held);
         // Silent ones hear from us about once a second.
         let to_all = self.wholes.is_multiple_of(WHOLE_TO_ALL);
@@ -109,10 +109,10 @@
     }
 
     /// A message with what each of them has, whole ones and others.
-    fn next(&mut self, is_whole: bool) -> Beacon {
+    fn next(&mut self, is_whole: bool) -> PeerMessage {
         let core = &self.core;
         self.sequence += 1;
-        let mut beacon = Beacon {
+        let mut beacon = PeerMessage {
             from: core.incarnation,
             sequence: self.sequence,
             leaving: core.drain.phase() != Phase::Serving,
@@ -120,13 +120,13 @@
             waiting: core.first_waiting(),
             clock_ms: core.shared_clock_ms(),
             advice: core.advice_to_tell(is_whole),
-            ..Beacon::default()
+            ..PeerMessage::default()
         };
         let fleet = core.published.fleet();
         beacon.refusals = refusals(core, &fleet, is_whole);
         for read in core.fresh_reads.take() {
             if let Some(endpoint) = hash_of(&fleet, read.endpoint) {
-                beacon.reads.push(ReadAt {
+                beacon.reads.push(PrefillAt {
                     endpoint,
                     read_ms: read.read_ms.round() as u16,
                     reads: read.reads,
@@ -144,14 +144,14 @@
 }
 
 /// Refusals to help that peers are told of.
-fn refusals(core: &Core, fleet: &Fleet, is_all: bool) -> Vec<RefusedAt> {
+fn refusals(core: &Core, fleet: &Fleet, is_all: bool) -> Vec<RefusalAt> {
     let (now_ms, confirmed_ms) = (core.now_whole_ms(), core.fleet_confirmed_ms());
     let told = core
         .helpers
         .borrow_mut()
         .take_told(is_all, now_ms, confirmed_ms);
     let refused_at = |(key, age_ms): (EndpointKey, u64)| {
-        Some(RefusedAt {
+        Some(RefusalAt {
             endpoint: hash_of(fleet, key)?,
             age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
         })
@@ -176,10 +176,10 @@
     }
 }
 
-fn add_held(beacon: &mut Beacon, fleet: &Fleet, held: Vec<(EndpointKey, Held)>) {
+fn add_held(beacon: &mut PeerMessage, fleet: &Fleet, held: Vec<(EndpointKey, EndpointLoad)>) {
     for (key, held) in held {
         if let Some(endpoint) = hash_of(fleet, key) {
-            beacon.held.push(HeldAt { endpoint, held });
+            beacon.held.push(LoadAt { endpoint, held });
         }
     }
 }
@@ -191,7 +191,7 @@
 }
 
 /// A message that fits a datagram.
-fn shortened(mut beacon: Beacon) -> Vec<u8> {
+fn shortened(mut beacon: PeerMessage) -> Vec<u8> {
     loop {
         let message = Message::Beacon(Box::new(beacon));
         let encoded = encode(&message);
@@ -213,9 +213,9 @@
     u32::try_from(core.gateways_sharing()?).ok()
 }
 
-fn knows(core: &Core, belief: &Belief) -> Option<Knows> {
+fn knows(core: &Core, belief: &Belief) -> Option<TopicVersion> {
     let age_ms = belief.age_ms(core.now_whole_ms())?;
-    Some(Knows {
+    Some(TopicVersion {
         content: belief.content(),
         age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
     })
--- a/crates/mgs-relay/src/wait.rs
+++ b/crates/mgs-relay/src/wait.rs
@@ -7,20 +7,20 @@
 use std::time::Duration;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::lengths::Band;
-use mgs_placing::line::Firsts;
-use mgs_placing::line::Score;
+use mgs_placing::dispatch;
+use mgs_placing::dispatch::DispatchDecision;
+use mgs_placing::length_counts::LengthBand;
 use mgs_placing::model::EngineModel;
-use mgs_placing::near::place;
-use mgs_placing::near::Field;
-use mgs_placing::near::Placed;
-use mgs_placing::near::Scope;
 use mgs_placing::need::Need;
-use mgs_placing::turn;
-use mgs_placing::turn::Turn;
-use mgs_placing::way::Candidate;
-use mgs_placing::way::NoPlace;
-use mgs_placing::way::Placement;
+use mgs_placing::placement::Candidate;
+use mgs_placing::placement::Placement;
+use mgs_placing::placement::PlacementError;
+use mgs_placing::queue_order::QueueHeads;
+use mgs_placing::queue_order::Score;
+use mgs_placing::zone::place_prompt;
+use mgs_placing::zone::Scope;
+use mgs_placing::zone::ScopedPlacement;
+use mgs_placing::zone::ZoneCandidates;
 use tokio::time::sleep;
 
 use crate::core::Core;
@@ -78,7 +78,7 @@
 /// Waits until it is the prompt's turn.
 pub(crate) async fn for_turn(
     prompt: &Prompt<'_>,
-    band: Option<Band>,
+    band: Option<LengthBand>,
     need: impl Fn() -> Need,
     tried: &Tried,
 ) -> Result<Turned, Refusal> {
@@ -87,39 +87,39 @@
     loop {
         let need = need();
         let fleet = core.published.fleet();
-        let Placed { placement, scope } = choose_engines(prompt, &fleet, &need, tried)?;
+        let ScopedPlacement { placement, scope } = choose_engines(prompt, &fleet, &need, tried)?;
         let turns = &core.options.turns;
         // Short prompts stand in no line, and a hundred come in a second: what peers count isn't summed for them.
         let sent_ratio = band.map_or(1.0, |band| core.sent_ratio(band));
-        let own = turn::score(&need, &placement, prompt.model, sent_ratio, turns);
-        let asked = turn::Waiting {
+        let own = dispatch::score(&need, &placement, prompt.model, sent_ratio, turns);
+        let asked = dispatch::WaitingPrompt {
             need: &need,
             placement: &placement,
             model: prompt.model,
-            own,
+            score: own,
             others: waiting.others(scope),
             ahead: waiting.ahead(),
             spare_per_s: core.spare.borrow().per_s(core.now_ms()),
             gateways: gateways(core, scope),
         };
         let is_short = asked.is_short(turns);
-        match turn::turn(&asked, turns) {
-            Turn::Go if is_short && turn::takes_spare(&asked, turns) => {
-                core.spare.borrow_mut().found(core.now_ms());
+        match dispatch::decide(&asked, turns) {
+            DispatchDecision::Dispatch if is_short && dispatch::needs_spare_slot(&asked, turns) => {
+                core.spare.borrow_mut().record(core.now_ms());
                 return Ok(waiting.turned(need, placement, fleet));
             }
-            Turn::Go => return Ok(waiting.turned(need, placement, fleet)),
-            Turn::Refuse => {
+            DispatchDecision::Dispatch => return Ok(waiting.turned(need, placement, fleet)),
+            DispatchDecision::Refuse => {
                 let wait_ms = match is_short {
-                    true => asked.spare_ms(turns),
+                    true => asked.spare_slot_wait_ms(turns),
                     false => placement.backlog_ms,
                 };
                 return Err(too_late(prompt, &need, &placement, wait_ms));
             }
-            Turn::Wait if is_given_back(core, &asked) => {
+            DispatchDecision::Wait if is_given_back(core, &asked) => {
                 return Err(Refusal::after(Fault::Leaving, RETRY_AFTER_LEAVING_MS));
             }
-            Turn::Wait => {}
+            DispatchDecision::Wait => {}
         }
         let is_new = match is_short {
             true => waiting.set_for_spare(),
@@ -138,9 +138,11 @@
 }
 
 /// Whether this host stops, and what waits wouldn't end before it.
-fn is_given_back(core: &Core, asked: &turn::Waiting<'_>) -> bool {
+fn is_given_back(core: &Core, asked: &dispatch::WaitingPrompt<'_>) -> bool {
     let left_ms = core.drain.left_ms();
-    left_ms.is_some_and(|left_ms| turn::gives_back(asked, left_ms, &core.options.turns))
+    left_ms.is_some_and(|left_ms| {
+        dispatch::should_return_to_client(asked, left_ms, &core.options.turns)
+    })
 }
 
 /// Lists a prompt among those that wait, until dropped.
@@ -200,7 +202,7 @@
     async fn until_first(&self, own: Score, scope: Scope) {
         for _ in 0..LOOKS_PER_JUDGEMENT {
             sleep(TURN_LOOK).await;
-            let is_first = own <= self.others(scope).in_line_of(own);
+            let is_first = own <= self.others(scope).head_for(own);
             self.note_look(is_first);
             if is_first {
                 return;
@@ -219,14 +221,16 @@
     }
 
     /// The least scores of the others that wait, here and at peers that wait for the same engines.
-    fn others(&self, scope: Scope) -> Firsts {
+    fn others(&self, scope: Scope) -> QueueHeads {
         let waiting = self.core.waiting.borrow();
         let others = waiting.iter().filter(|(number, _)| **number != self.number);
-        let here = others.fold(Firsts::default(), |firsts, (_, score)| firsts.with(*score));
+        let here = others.fold(QueueHeads::default(), |firsts, (_, score)| {
+            firsts.with_score(*score)
+        });
         let board = self.core.board.borrow();
-        here.and(match scope {
-            Scope::Zone => board.waiting_in(self.core.zone),
-            Scope::Fleet => board.waiting(),
+        here.merge(match scope {
+            Scope::Zone => board.peer_heads_in(self.core.zone),
+            Scope::Fleet => board.peer_heads(),
         })
     }
 }
@@ -234,7 +238,7 @@
 /// Gateways that share the engines among which a prompt was judged, this one included.
 fn gateways(core: &Core, scope: Scope) -> usize {
     match scope {
-        Scope::Zone => core.board.borrow().peers_in(core.zone) + 1,
+        Scope::Zone => core.board.borrow().peer_count_in(core.zone) + 1,
         Scope::Fleet => core.headcount.borrow().gateways(),
     }
 }
@@ -257,7 +261,7 @@
     fleet: &Fleet,
     need: &Need,
     tried: &Tried,
-) -> Result<Placed, Refusal> {
+) -> Result<ScopedPlacement, Refusal> {
     let core = prompt.core;
     let shut = core.shut();
     let present = present(core, fleet, prompt.service);
@@ -272,20 +276,20 @@
     let candidate = |endpoint: &Arc<Endpoint>| Candidate {
         key: endpoint.key,
         slowness: core.outliers.slowness(endpoint.key),
-        trial: on_trial(core, endpoint),
-        helps: !refusing.contains(&endpoint.key),
-        leads: !shut.contains(endpoint),
+        on_trial: on_trial(core, endpoint),
+        can_help: !refusing.contains(&endpoint.key),
+        can_lead: !shut.contains(endpoint),
     };
     let all: Vec<Candidate> = endpoints.iter().map(candidate).collect();
     know_passes(core, &all, prompt.model);
-    let field = Field {
-        near: &all[..near],
+    let field = ZoneCandidates {
+        own_zone: &all[..near],
         all: &all,
     };
     let board = core.board.borrow();
     let options = &core.options.placing;
     let (draw, now_ms) = (core.draw(), core.now_ms());
-    let chosen = place(need, &field, &board, prompt.model, options, draw, now_ms);
+    let chosen = place_prompt(need, &field, &board, prompt.model, options, draw, now_ms);
     chosen.map_err(|no_place| {
         let refusal = refuse(no_place);
         place_log::not_placed(prompt, need, all.len(), &no_place, &refusal);
@@ -317,27 +321,33 @@
 
 /// Engines of one service have passes of one length.
 fn know_passes(core: &Core, candidates: &[Candidate], model: &EngineModel) {
-    let pass_ms = model.bare_pass_ms();
+    let pass_ms = model.min_pass_ms();
     let mut board = core.board.borrow_mut();
     for candidate in candidates {
-        board.know_pass(candidate.key, pass_ms);
+        board.set_pass_ms(candidate.key, pass_ms);
     }
 }
 
 /// It has waited in vain: it can't end in time any more without more harm than it is worth.
 fn too_late(prompt: &Prompt<'_>, need: &Need, placement: &Placement, backlog_ms: f64) -> Refusal {
-    let no_place = NoPlace::TooLate { backlog_ms };
+    let no_place = PlacementError::TooLate { backlog_ms };
     let refusal = refuse(no_place);
-    place_log::not_placed(prompt, need, placement.scene.engines, &no_place, &refusal);
+    place_log::not_placed(
+        prompt,
+        need,
+        placement.snapshot.engines,
+        &no_place,
+        &refusal,
+    );
     refusal
 }
 
-fn refuse(no_place: NoPlace) -> Refusal {
+fn refuse(no_place: PlacementError) -> Refusal {
     let after = |backlog_ms: f64| (backlog_ms as u64).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS);
     match no_place {
-        NoPlace::NoEndpoint => no_endpoint(),
-        NoPlace::TooLarge => Refusal::of(Fault::TooLarge),
-        NoPlace::TooLate { backlog_ms } => Refusal::after(Fault::TooLate, after(backlog_ms)),
-        NoPlace::Full { backlog_ms, .. } => Refusal::after(Fault::Full, after(backlog_ms)),
+        PlacementError::NoEndpoint => no_endpoint(),
+        PlacementError::TooLarge => Refusal::of(Fault::TooLarge),
+        PlacementError::TooLate { backlog_ms } => Refusal::after(Fault::TooLate, after(backlog_ms)),
+        PlacementError::Full { backlog_ms, .. } => Refusal::after(Fault::Full, after(backlog_ms)),
     }
 }
--- a/src/account/outcome.rs
+++ b/src/account/outcome.rs
@@ -95,7 +95,7 @@
                 .fold(0.0, f64::max)
         };
         let prompt_tokens = told("prompt_tokens");
-        let expected_tokens = need::size(prompt_tokens, told("expected_tokens"));
+        let expected_tokens = need::size_tokens(prompt_tokens, told("expected_tokens"));
         if cause == Cause::Ended("answered".to_string()) {
             cause = plain_cause(ended?);
         }
@@ -122,7 +122,7 @@
 
     /// Tokens that its answer was expected to have.
     pub fn answer_tokens(&self) -> f64 {
-        (self.size_tokens - self.prompt_tokens).max(0.0) / need::WRITTEN_FACTOR
+        (self.size_tokens - self.prompt_tokens).max(0.0) / need::DECODE_COST_FACTOR
     }
 
     /// How it ended, in a word.
@@ -210,7 +210,7 @@
         }
         let lost_share = match outcome.end() {
             End::OnTime => 0.0,
-            End::Late => need::LATE_SHARE,
+            End::Late => need::LATE_LOSS_SHARE,
             End::Refused | End::Failed => 1.0,
         };
         outcome.lost_units = outcome.units * lost_share;
--- a/src/account/split.rs
+++ b/src/account/split.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use mgs_placing::model::EngineModel;
-use mgs_placing::need::LATE_SHARE;
+use mgs_placing::need::LATE_LOSS_SHARE;
 
 use super::engines::Engines;
 use super::fluid;
@@ -68,7 +68,8 @@
             ..Self::default()
         };
         for (index, outcome) in outcomes.iter().enumerate() {
-            let servable = LATE_SHARE * on_time[index] + (1.0 - LATE_SHARE) * at_all[index];
+            let servable =
+                LATE_LOSS_SHARE * on_time[index] + (1.0 - LATE_LOSS_SHARE) * at_all[index];
             split.add(outcome, servable);
         }
         split
@@ -158,7 +159,7 @@
     fn read_ms(&self, outcome: &Outcome) -> f64 {
         let model = self.known.map(|(_, model)| model);
         model.map_or(0.0, |model| match outcome.prompt_tokens > 0.0 {
-            true => model.read_ms(outcome.prompt_tokens as u64),
+            true => model.prefill_ms(outcome.prompt_tokens as u64),
             false => 0.0,
         })
     }
@@ -168,7 +169,7 @@
         let Some((_, model)) = self.known.filter(|_| outcome.prompt_tokens > 0.0) else {
             return 0.0;
         };
-        model.passes(outcome.answer_tokens() as u64) as f64 * model.bare_pass_ms()
+        model.passes_for(outcome.answer_tokens() as u64) as f64 * model.min_pass_ms()
     }
 
     /// Its share of that on an engine whose places are all taken, in milliseconds.
--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -18,8 +18,8 @@
 use mgs_observe::admin::Health;
 use mgs_observe::logs;
 use mgs_observe::metrics::Registry;
+use mgs_placing::dispatch;
 use mgs_placing::options;
-use mgs_placing::turn;
 use mgs_relay::follow;
 use mgs_relay::metrics::Metrics;
 use mgs_relay::relay;
@@ -121,8 +121,8 @@
         values.fault(LOG_LEVEL, "give a level or a filter by module");
     }
     let metrics_port = values.number(METRICS_PORT, 1..=u16::MAX);
-    let placing = figures(&mut values, PLACING, options::Options::with);
-    let turns = figures(&mut values, TURNS, turn::Options::with);
+    let placing = figures(&mut values, PLACING, options::PlacementOptions::with);
+    let turns = figures(&mut values, TURNS, dispatch::DispatchOptions::with);
     values.finish()?;
     let failed = |error: String| Error::Failed(error);
     let settings = Settings::read(&path).map_err(|error| failed(error.to_string()))?;
@@ -133,8 +133,8 @@
 
 /// Figures of decisions that differ from their defaults.
 struct Figures {
-    placing: options::Options,
-    turns: turn::Options,
+    placing: options::PlacementOptions,
+    turns: dispatch::DispatchOptions,
 }
 
 fn figures<O: Default>(
