--- a/crates/mgs-placing/benches/decision.rs
+++ b/crates/mgs-placing/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Cost of placing one prompt beside a busy fleet, in zones as the users' deployments have them.
+//! Cost of placing one prompt on a loaded fleet with typical availability zones.
 //!
 //! `cargo bench -p mgs-placing --bench decision`
 
@@ -20,14 +20,14 @@
 use mgs_placing::zone::place_prompt;
 use mgs_placing::zone::ZoneCandidates;
 
-/// Engines, and how many of them are in the gateway's own availability zone.
+/// Number of engines in the fleet, and of those in the gateway's own availability zone.
 const FLEETS: [(u32, usize); 4] = [(23, 8), (78, 26), (172, 35), (500, 100)];
 
-/// Of five engines three write short streams.
-const WRITING: [u32; 5] = [6, 0, 4, 0, 7];
+/// Short streams on each engine, repeated over the fleet: three of five engines decode some.
+const STREAMS: [u32; 5] = [6, 0, 4, 0, 7];
 
-/// Prompts that peers placed within the second before.
-const PLACED_ELSEWHERE: u32 = 200;
+/// Prompts that peers placed within the preceding second.
+const PEER_PLACEMENTS: u32 = 200;
 
 fn need(prompt_tokens: u64, aim_ms: f64) -> Need {
     Need {
@@ -45,7 +45,7 @@
 fn load_table(engines: u32) -> LoadTable {
     let mut load_table = LoadTable::new();
     for key in 0..engines {
-        let count = WRITING[key as usize % WRITING.len()];
+        let count = STREAMS[key as usize % STREAMS.len()];
         let stream = StreamGroup::single(300.0, false, 1.0, 24);
         let held = EndpointLoad {
             streams: vec![stream; count as usize],
@@ -55,7 +55,7 @@
         load_table.add_own(EndpointKey(key), &held);
         load_table.set_pass_ms(EndpointKey(key), 68.0);
     }
-    for number in 0..PLACED_ELSEWHERE {
+    for number in 0..PEER_PLACEMENTS {
         let key = EndpointKey(number % engines);
         load_table.add_peer_prefill(key, f64::from(number) * 5.0, 30.0, PrefillPart::Whole);
     }
--- a/crates/mgs-placing/src/choose.rs
+++ b/crates/mgs-placing/src/choose.rs
@@ -1,9 +1,9 @@
 //! The choice of engines for one prompt.
 //!
-//! Each way to place it (one engine, or reading shared by 2 to 16) is judged by the worth that it is
-//! expected to lose: that the prompt itself is late, and that streams that share its engines are late
-//! by a pause. Short streams gather on few engines, since a further writer costs a step next to
-//! nothing, and reading beside any writer stalls all of them for its length.
+//! Each possible placement (one engine, or prefill shared by 2 to 16) is rated by the worth that it
+//! is expected to lose: by lateness of the prompt itself, and by pauses in streams on the same
+//! engines. Short streams are gathered on few engines, since one more decoding request lengthens a
+//! step very little, while prefill on an engine pauses all of its streams for as long as it takes.
 
 use crate::engine_state::EngineState;
 use crate::evaluation::Evaluation;
@@ -18,20 +18,27 @@
 use crate::split_memory;
 use crate::stream_group;
 
-/// What is left of how slow engines seem where they are taken to keep to their declared speed: enough to
-/// tell them apart.
+/// Share of the observed slowness that is kept when engines are assumed to run at their declared
+/// speed: enough to break ties between them.
 const SLOWNESS_TIE_BREAK: f64 = 0.01;
 
-/// By which gateways that see the same choose differently.
+/// Randomization that makes gateways with the same view choose different engines.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RandomDraw {
-    /// A number from 0 up to 1, drawn for each choice; 0 for the way that looks best.
+    /// Random number from 0 up to, but not including, 1, drawn for each choice; 0 for the best
+    /// placement.
     pub draw: f64,
-    /// Share of what peers place that goes to the candidates, as one of the same number would.
+    /// Share of the peers' placements that is assumed to go to the candidates: their share of all
+    /// engines.
     pub share: f64,
 }
 
-/// Places a prompt. Among engines that are as good the first candidates are taken.
+/// Places a prompt. Among equally good engines, the first candidates are chosen.
+///
+/// # Errors
+///
+/// Returns a [`PlacementError`] if there is no candidate, if there is no room, or if the prompt
+/// would be answered too late.
 ///
 /// ```
 /// use mgs_fleet::view::EndpointKey;
@@ -103,19 +110,19 @@
     if evaluation.is_long {
         return Ok(late_prompt::place_late_prompt(&mut evaluation, widest));
     }
-    let late_max = (evaluation.engines.len() as f64 * options.late_engines_share) as usize;
-    evaluation.engines_max = late_max.max(1).min(evaluation.engines_max);
-    // Where fewer engines can't hold it or would be later than its deadline, the wide way stands.
+    let late_engines_max = (evaluation.engines.len() as f64 * options.late_engines_share) as usize;
+    evaluation.engines_max = late_engines_max.max(1).min(evaluation.engines_max);
+    // If fewer engines lack the room or would miss the deadline, the wide placement is used.
     Ok(find_placement(&evaluation).unwrap_or(widest))
 }
 
-/// Whether a prompt is long: one engine alone would have its first token late, or nearly so.
+/// Whether a prompt is long: one engine alone would miss its first-token target, or nearly so.
 pub fn is_long(need: &Need, model: &EngineModel, options: &PlacementOptions) -> bool {
     model.prefill_ms(need.prompt_tokens) > need.ttft_target_ms * options.long_aim_share
 }
 
-/// The way that loses least. A prompt whose client would leave before its first token, or whose answer can't end
-/// in time even without any reading beside it, has none.
+/// The placement with the least loss. There is none for a prompt whose client would disconnect
+/// before its first token, or whose answer can't end in time even without any prefill beside it.
 fn find_placement(evaluation: &Evaluation<'_>) -> Result<Placement, PlacementError> {
     let best = if evaluation.needs_reservations() {
         split_memory::place_over_engines(evaluation)?
@@ -140,13 +147,14 @@
     })
 }
 
-/// The same if engines keep to what their operator declares, for a prompt that would be too late by how
-/// slow they seem. That is learned from first tokens, which also come late when this gateway was paused,
-/// and isn't learned anew where nothing is sent: it tells engines apart and refuses nobody.
+/// Places a prompt that would be too late at the observed speed of the engines as if they ran at
+/// the declared speed. Slowness is learned from first tokens, which also arrive late when this
+/// gateway itself was paused, and isn't corrected where nothing is sent. It may therefore rank
+/// engines, but must not cause a refusal.
 fn place_at_declared_speed(evaluation: &mut Evaluation<'_>) -> Result<Placement, PlacementError> {
     for engine in &mut evaluation.engines {
-        let seems_slow = 1.0 + (engine.slowness - 1.0) * SLOWNESS_TIE_BREAK;
-        engine.set_slowness(seems_slow);
+        let slowness = 1.0 + (engine.slowness - 1.0) * SLOWNESS_TIE_BREAK;
+        engine.set_slowness(slowness);
     }
     find_placement(evaluation)
 }
--- a/crates/mgs-placing/src/concurrent_choices.rs
+++ b/crates/mgs-placing/src/concurrent_choices.rs
@@ -1,27 +1,29 @@
-//! Choosing among engines while others choose too, and can't be seen yet.
+//! Choice among engines while other gateways make choices that aren't visible yet.
 //!
-//! The load that this answers: a hundred gateways place 240 short prompts a second. Each hears of the others' choices
-//! some 30 ms late, so at any moment seven prompts are on their way that it doesn't know of. Where all take the engine
-//! that looks best, they take the same one: late first tokens found 1.9 other prompts placed on their engine within the
-//! 20 ms before them, on a calm day with two thirds of the engines reading nothing, and 20% of the short prompts were
-//! late.
+//! A hundred gateways place 240 short prompts per second, and each learns of the others' placements
+//! about 30 ms late, so about seven placements are unknown to it at any time. If all took the
+//! engine that looks best, they would take the same one: before late first tokens, 1.9 other
+//! prompts had been placed on the same engine within 20 ms, at a low load with two thirds of the
+//! engines doing no prefill, and 20% of the short prompts were late.
 //!
-//! So each gateway takes the others to choose as it does. What they may have placed is spread over the engines
-//! as they would spread it, until all that are taken are equally good, and its own prompt goes to one of these by lot,
-//! with the weight that they have in it. Without others, that is the best engine.
+//! Each gateway therefore assumes that the others choose as it does. It spreads their unseen
+//! placements over the engines by water-filling, until all engines used are equally good, and then
+//! picks one of these at random, weighted by the placements that each received. Without unseen
+//! placements the best engine is chosen.
 
-/// Others that choose at the same moment, as far as they can be told.
+/// Concurrent choices of other gateways, as far as they can be estimated.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ConcurrentChoices {
-    /// Prompts that others may have placed since they were last heard, on average.
+    /// Expected number of prompts that others have placed and not yet reported.
     pub unseen_placements: f64,
-    /// What the choice costs more for each of them on the same engine, in units.
+    /// Added loss for each such prompt on the same engine, in units.
     pub collision_units: f64,
-    /// A number from 0 up to 1, drawn for this choice; 0 takes the best engine.
+    /// Random number from 0 up to, but not including, 1, drawn for this choice; 0 picks the best
+    /// engine.
     pub draw: f64,
 }
 
-/// Which of the engines whose losses are these is taken; `None` if there are none.
+/// Picks one of the engines that have these losses and returns its index; `None` if there are none.
 ///
 /// ```
 /// use mgs_placing::concurrent_choices::pick_engine;
@@ -45,10 +47,10 @@
     }
     let sorted: Vec<f64> = order.iter().map(|index| losses[*index]).collect();
     let water_level = water_level(&sorted, spread_units);
-    let mut left = others.draw * spread_units;
+    let mut remaining = others.draw * spread_units;
     for (index, loss) in order.iter().zip(&sorted) {
-        left -= water_level - loss;
-        if left < 0.0 {
+        remaining -= water_level - loss;
+        if remaining < 0.0 {
             return Some(*index);
         }
         if *loss >= water_level {
@@ -58,7 +60,8 @@
     Some(best)
 }
 
-/// The loss to which the least of some losses rise, all to the same, if `poured` is spread over them.
+/// The loss to which the least losses rise, all to the same level, if `spread_units` is spread over
+/// them.
 fn water_level(sorted: &[f64], spread_units: f64) -> f64 {
     let mut sum = 0.0;
     let mut water_level = f64::INFINITY;
--- a/crates/mgs-placing/src/dispatch.rs
+++ b/crates/mgs-placing/src/dispatch.rs
@@ -1,11 +1,12 @@
-//! Whose turn it is among long prompts.
+//! When a waiting prompt is dispatched.
 //!
-//! The load that this answers: for ten seconds and more, audits ask for as much reading as all engines
-//! have, or more. Engines read the newest part first, so prompts that are sent anyway overtake each
-//! other, and all become late; and their reading and memory stand in the way of the short prompts of
-//! the next ten seconds. So a long prompt waits at its gateway until the engines have read what was
-//! sent before, and of those that wait, the one goes first that is worth most for its reading. One that
-//! can't be on time any more lets the others pass, until its deadline forces it.
+//! During overload, long prompts ask for as much prefill as all engines can do, or more, for ten
+//! seconds and longer. Engines prefill the newest part first, so prompts dispatched regardless
+//! would overtake each other and all become late, and their prefill and memory would block the
+//! short prompts of the next ten seconds. A long prompt therefore waits at its gateway until the
+//! engines have finished the prefill dispatched before, and the waiting prompt with the most worth
+//! for its prefill goes next. A prompt that can't be on time any more lets others pass until its
+//! deadline forces it.
 
 use crate::length_counts::LengthBand;
 use crate::model::EngineModel;
@@ -13,55 +14,63 @@
 use crate::placement::Placement;
 use crate::queue_order::QueueHeads;
 use crate::queue_order::Score;
-use crate::queue_order::LATE_BASE;
+use crate::queue_order::LATE_SCORE_BASE;
 use crate::queue_order::NONE_WAITING;
 use crate::setting_text::apply_settings;
 use crate::setting_text::Setting;
 
-/// Least share of a score that is left however seldom prompts of its length are sent.
-const SCORE_LEAST_SHARE: f64 = 0.02;
+/// Lower bound to which a score is reduced, however seldom prompts of its length are dispatched, as
+/// a share of the score.
+const MIN_SCORE_SHARE: f64 = 0.02;
 
-/// Settings of the order among long prompts.
+/// Options of [`decide`] and [`score`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct DispatchOptions {
-    /// A prompt whose part is read in less than this doesn't wait, in milliseconds: overtaking delays
-    /// others by less than a pass of an engine that writes.
+    /// A prompt whose part takes less prefill than this doesn't wait, in milliseconds: overtaking
+    /// delays others by less than a pass of a decoding engine.
     pub overtake_ms: f64,
-    /// Backlog of the engines at which the next prompt is sent, in milliseconds: what it takes to tell
-    /// them, so that they don't fall idle.
+    /// Backlog of the engines at which the next prompt is dispatched, in milliseconds: enough to
+    /// bridge the network delay without idle engines.
     pub start_backlog_ms: f64,
-    /// Idle engines that must be left besides those that a prompt would use for it to need no turn: a large
-    /// fleet reads many prompts side by side, and whoever goes first next still finds engines.
+    /// Number of engines without prefill that must remain beside those that a prompt would use for
+    /// it to skip the queue: a large fleet prefills many prompts at the same time, and the next in
+    /// line still finds engines.
     pub plenty_engines: usize,
-    /// Engines that must be left for a long prompt to be sent.
+    /// Least number of engines that short streams don't need for a long prompt to be dispatched.
     pub room_engines: usize,
-    /// Reading on one engine up to which a prompt never waits, in milliseconds: the longest short question.
+    /// Prefill on one engine up to which a prompt never waits in the queue of long prompts, in
+    /// milliseconds: that of the longest short question.
     pub short_work_ms: f64,
-    /// Share of all engines that read for late prompts. One of them goes in any case.
+    /// Largest share of all engines that prefill for late prompts. One late prompt is dispatched in
+    /// any case.
     pub last_share: f64,
-    /// Share of the engines that short streams leave which read for late prompts while nobody waits who can be on
-    /// time: whoever comes next finds the others.
+    /// Largest share of the engines not needed by short streams that prefill for late prompts while
+    /// no waiting prompt can be on time: the next prompt finds the others.
     pub idle_share: f64,
-    /// Engines that are counted on when the deadline forces a prompt: few, so that it goes while few will do.
+    /// Number of engines assumed for a prompt that the deadline forces: few, so that it is
+    /// dispatched while few suffice.
     pub last_engines: f64,
-    /// Factor by which an answer takes longer to be written than its passes would without any reading.
+    /// Ratio of the time to decode an answer to the duration of its passes without prefill.
     pub write_factor: f64,
-    /// Share of the places of all engines from which on those that are left are kept for short prompts that can
-    /// be on time.
+    /// Share of all engines' slots from which on the remaining slots are kept for short prompts
+    /// that can be on time.
     pub spare_from_share: f64,
-    /// Share of its aim by which a short prompt must be expected sooner to count as on time once engines are
-    /// full: places fall free as often, and whoever waits at an engine waits for fewer.
+    /// Margin before the first-token target that a short prompt must keep to count as on time once
+    /// engines are full, as a share of the target: slots become free at the same rate, and a prompt
+    /// queued at an engine waits for fewer of them.
     pub spare_margin_share: f64,
-    /// Places of full engines that fall free, as a share, which late short prompts are taken to find at least.
+    /// Least share of the slots that become free on full engines that late short prompts are
+    /// assumed to find.
     pub spare_least_share: f64,
-    /// Factor by which reading may take longer than predicted when the deadline is near.
+    /// Ratio to the prediction that prefill may take when the deadline is near.
     pub margin_factor: f64,
-    /// How often prompts of each length are to be sent beside all others at least, as far as their order can do it.
+    /// Least ratio at which prompts of each length should be dispatched compared with all others,
+    /// as far as their order can achieve it.
     pub sent_least_ratio: f64,
-    /// How strongly a length that is sent less often goes before others, as a power of its ratio: two that are asked
-    /// for and none that is sent weigh as much as seven times the worth for the reading.
+    /// Exponent of the ratio by which a length that is dispatched less often moves ahead: two
+    /// prompts received and none dispatched weigh as much as seven times the worth for the prefill.
     pub sent_power: f64,
-    /// Share of a request's worth that is left when it is late: the most that it may cost others then.
+    /// Share of a late request's worth that remains: the most harm that it may do to others.
     pub late_worth_share: f64,
 }
 
@@ -89,7 +98,11 @@
 }
 
 impl DispatchOptions {
-    /// Sets the figures of `text`, as in `write_factor=3,overtake_ms=40`.
+    /// Applies the settings in `text`, such as `write_factor=3,overtake_ms=40`.
+    ///
+    /// # Errors
+    ///
+    /// Returns a message if a setting's name is unknown or its value isn't a number.
     ///
     /// ```
     /// use mgs_placing::dispatch::DispatchOptions;
@@ -125,18 +138,19 @@
     }
 }
 
-/// What a prompt is to do now.
+/// What to do with a waiting prompt now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchDecision {
-    /// Be sent.
+    /// Send it to its engines.
     Dispatch,
-    /// Wait and ask again.
+    /// Keep it waiting and ask again.
     Wait,
-    /// Be refused: it can't end in time any more without more harm than it is worth.
+    /// Refuse it: it can't end in time any more without more harm than it is worth.
     Refuse,
 }
 
-/// The band of lengths in which a prompt counts, if reading it takes so long that it may have to wait for its turn.
+/// The length band in which a prompt is counted; `None` for one with so little prefill that it
+/// never waits in the queue of long prompts.
 pub fn length_band(
     need: &Need,
     model: &EngineModel,
@@ -146,8 +160,9 @@
     is_long.then(|| LengthBand::of(need.prompt_tokens, need.ttft_target_ms))
 }
 
-/// The score of a prompt: milliseconds of reading on one engine for a unit of worth while it can be on time, less
-/// if prompts of its length are sent less often than others (`sent_ratio`), and then what is left of its time.
+/// The score of a prompt. While it can be on time, this is its prefill on one engine in
+/// milliseconds per unit of worth, reduced if prompts of its length are dispatched less often than
+/// others (`sent_ratio`). After that, it is the time left until its deadline.
 pub fn score(
     need: &Need,
     placement: &Placement,
@@ -156,59 +171,59 @@
     options: &DispatchOptions,
 ) -> Score {
     if placement.first_token_ms > need.ttft_left_ms {
-        return Score(LATE_BASE.saturating_add(need.deadline_left_ms.max(0.0) as u32));
+        return Score(LATE_SCORE_BASE.saturating_add(need.deadline_left_ms.max(0.0) as u32));
     }
     let single_engine_ms = model.prefill_ms(need.prompt_tokens);
     let per_unit_ms = single_engine_ms / need.worth_units(model).max(f64::MIN_POSITIVE);
-    let behind = (sent_ratio / options.sent_least_ratio).min(1.0);
-    let score_ms = per_unit_ms * behind.powf(options.sent_power).max(SCORE_LEAST_SHARE);
-    Score((score_ms as u32).min(LATE_BASE - 1))
+    let capped_ratio = (sent_ratio / options.sent_least_ratio).min(1.0);
+    let score_ms = per_unit_ms * capped_ratio.powf(options.sent_power).max(MIN_SCORE_SHARE);
+    Score((score_ms as u32).min(LATE_SCORE_BASE - 1))
 }
 
 /// A prompt that may have to wait.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitingPrompt<'a> {
-    /// What it asks for.
+    /// Its requirements.
     pub need: &'a Need,
-    /// Where it would go now.
+    /// Where it would be placed now.
     pub placement: &'a Placement,
-    /// Figures of its engines.
+    /// Performance model of its engines.
     pub model: &'a EngineModel,
-    /// Its score.
+    /// Its position in the queue.
     pub score: Score,
-    /// The least scores of the others that wait, here and at peers.
+    /// The least scores of the other waiting prompts, here and at peers.
     pub others: QueueHeads,
-    /// Short prompts that wait here for a spare place since before it did.
+    /// Short prompts that wait here for a spare slot and arrived earlier.
     pub ahead: usize,
-    /// Spare places that such prompts found here in a second of late.
+    /// Recent rate at which such prompts found spare slots here, per second.
     pub spare_per_s: f64,
-    /// Gateways that share the engines, this one included.
+    /// Gateways that share the engines, including this one.
     pub gateways: usize,
 }
 
 impl WaitingPrompt<'_> {
-    /// Its reading on one engine, in milliseconds.
+    /// Prefill of the whole prompt on one engine, in milliseconds.
     fn single_engine_ms(&self) -> f64 {
         self.model.prefill_ms(self.need.prompt_tokens)
     }
 
-    /// Time that its answer takes to be written on an engine half full, in milliseconds.
+    /// Time to decode the answer on an engine with half of its slots taken, in milliseconds.
     fn decode_ms(&self) -> f64 {
         let passes = self.model.passes_for(self.need.expected_tokens);
         passes as f64 * self.model.usual_pass_ms()
     }
 
-    /// Whether its reading delays nobody much, so that it needs no turn.
+    /// Whether its prefill delays others so little that it needn't queue.
     pub fn is_short(&self, options: &DispatchOptions) -> bool {
         self.single_engine_ms() <= options.short_work_ms
             || self.placement.prefill_ms <= options.overtake_ms
     }
 
-    /// Time until those that wait for a spare place before it have found one, in milliseconds: as many find
-    /// one in a second as of late, and no fewer than a part of the places that fall free on full engines.
+    /// Expected time until the prompts ahead have found a spare slot, in milliseconds. The rate is
+    /// the recent one, and at least a share of the slots that become free on full engines.
     pub fn spare_slot_wait_ms(&self, options: &DispatchOptions) -> f64 {
-        let places = self.placement.snapshot.engines as f64 * f64::from(self.model.slots);
-        let free_per_ms = places / self.decode_ms() / self.gateways.max(1) as f64;
+        let slots = self.placement.snapshot.engines as f64 * f64::from(self.model.slots);
+        let free_per_ms = slots / self.decode_ms() / self.gateways.max(1) as f64;
         let least_per_ms = free_per_ms * options.spare_least_share;
         self.ahead as f64 / least_per_ms.max(self.spare_per_s / 1e3)
     }
@@ -217,31 +232,32 @@
         self.placement.helpers.len() + 1
     }
 
-    /// The least score of the others in its line.
+    /// The least score of the others in its queue.
     pub fn best_other(&self) -> Score {
         self.others.head_for(self.score)
     }
 
-    /// Whether it is first in line and its engines are done with what was sent before.
+    /// Whether it is next in its queue and its engines have little backlog left.
     fn is_next(&self, options: &DispatchOptions) -> bool {
         self.score <= self.best_other() && self.placement.backlog_ms <= options.start_backlog_ms
     }
 
-    /// Time until its answer is written if it is sent now, in milliseconds.
+    /// Predicted time until its answer is complete if it is dispatched now, in milliseconds.
     fn end_ms(&self, options: &DispatchOptions) -> f64 {
-        let reading_ms = self.placement.first_token_ms * options.margin_factor;
-        reading_ms + self.decode_ms() * options.write_factor
+        let first_token_ms = self.placement.first_token_ms * options.margin_factor;
+        first_token_ms + self.decode_ms() * options.write_factor
     }
 
-    /// Whether it would still end in time if it were sent now.
+    /// Whether its answer would be complete before the deadline if it were dispatched now.
     fn ends_in_time(&self, options: &DispatchOptions) -> bool {
         self.end_ms(options) <= self.need.deadline_left_ms
     }
 }
 
-/// Whether a prompt that waits at a host that stops is given back to its client: if it were sent now, it wouldn't be
-/// answered before the host cuts what is open. Until then it has the same chance here as anywhere, and its client, which may come
-/// back once or twice only, keeps that.
+/// Whether a prompt that waits at a host that shuts down is returned to its client, because its
+/// answer wouldn't be complete before the host closes its connections. Until then it keeps its
+/// chance here, which is as good as elsewhere, and its client, which may retry only once or twice,
+/// saves a retry.
 pub fn should_return_to_client(
     waiting: &WaitingPrompt<'_>,
     host_left_ms: f64,
@@ -250,7 +266,7 @@
     waiting.end_ms(options) > host_left_ms
 }
 
-/// Whether a prompt is sent now.
+/// Decides whether a prompt is dispatched now, waits or is refused.
 pub fn decide(waiting: &WaitingPrompt<'_>, options: &DispatchOptions) -> DispatchDecision {
     let placement = waiting.placement;
     if waiting.is_short(options) {
@@ -263,7 +279,7 @@
         return DispatchDecision::Dispatch;
     }
     let plenty = waiting.engine_count() + options.plenty_engines;
-    let is_plenty = placement.snapshot.without_reading >= plenty;
+    let is_plenty = placement.snapshot.without_prefill >= plenty;
     if is_plenty && placement.backlog_ms <= options.start_backlog_ms {
         return DispatchDecision::Dispatch;
     }
@@ -274,61 +290,64 @@
     DispatchDecision::Wait
 }
 
-/// Whether a short prompt that is sent now takes a place that others can do without.
+/// Whether a short prompt may only take a spare slot, since it can't meet its first-token target
+/// with the required margin.
 pub fn needs_spare_slot(waiting: &WaitingPrompt<'_>, options: &DispatchOptions) -> bool {
     let need = waiting.need;
     let margin_ms = need.ttft_target_ms * options.spare_margin_share;
     waiting.placement.first_token_ms + margin_ms > need.ttft_left_ms
 }
 
-/// A short prompt goes at once while it can be on time, and while there are places to spare. Else it waits for
-/// one, unless it would end too late after all that wait before it.
+/// A short prompt is dispatched at once while it can be on time or while there are spare slots.
+/// Otherwise it waits for a spare slot, unless the prompts ahead of it would make it end too late.
 fn decide_short(waiting: &WaitingPrompt<'_>, options: &DispatchOptions) -> DispatchDecision {
     let snapshot = &waiting.placement.snapshot;
-    let taken_share = f64::from(snapshot.slots_taken_permille) / 1e3;
-    if !needs_spare_slot(waiting, options) || taken_share < options.spare_from_share {
+    let slots_taken_share = f64::from(snapshot.slots_taken_permille) / 1e3;
+    if !needs_spare_slot(waiting, options) || slots_taken_share < options.spare_from_share {
         return DispatchDecision::Dispatch;
     }
     let spare_slot_wait_ms = waiting.spare_slot_wait_ms(options);
-    let ends = spare_slot_wait_ms + waiting.decode_ms() <= waiting.need.deadline_left_ms;
-    // Its client leaves before a first token that comes later.
-    let is_borne = spare_slot_wait_ms <= waiting.need.first_token_limit_ms();
-    match ends && is_borne {
+    let ends_in_time = spare_slot_wait_ms + waiting.decode_ms() <= waiting.need.deadline_left_ms;
+    // The client disconnects before a first token that comes later.
+    let is_within_patience = spare_slot_wait_ms <= waiting.need.first_token_limit_ms();
+    match ends_in_time && is_within_patience {
         true => DispatchDecision::Wait,
         false => DispatchDecision::Refuse,
     }
 }
 
-/// A prompt that is late anyway goes when nobody waits who can be on time, or at its last chance, while few engines
-/// will still do; and only if few read for others like it, and if it harms no streams that are worth more. Sooner it
-/// would take engines from those that can be on time.
+/// A late prompt is dispatched when no waiting prompt can be on time, or at the last moment at
+/// which few engines still suffice; in both cases only if few engines prefill for late prompts and
+/// if it does no more harm to streams than it is worth. Earlier it would take engines from prompts
+/// that can be on time.
 ///
-/// It is refused as soon as it can't end in time on the engines that short streams leave: kept waiting for more, such
-/// prompts are refused later, and no more of them are answered.
+/// It is refused as soon as it can't end in time on the engines that short streams don't need: if
+/// such prompts are kept waiting for more engines, they are refused later and no more of them are
+/// answered.
 fn decide_late(waiting: &WaitingPrompt<'_>, options: &DispatchOptions) -> DispatchDecision {
     if !waiting.ends_in_time(options) {
         return DispatchDecision::Refuse;
     }
     let snapshot = &waiting.placement.snapshot;
-    let is_alone = snapshot.late_engines == 0;
-    let nobody_else = waiting.others.on_time == NONE_WAITING && waiting.is_next(options);
-    let engines_max = match nobody_else {
+    let is_only_late = snapshot.late_engines == 0;
+    let no_other_on_time = waiting.others.on_time == NONE_WAITING && waiting.is_next(options);
+    let engines_max = match no_other_on_time {
         true => snapshot.engines_for_long as f64 * options.idle_share,
         false => snapshot.engines as f64 * options.last_share,
     };
     let engines = (snapshot.late_engines + waiting.engine_count()) as f64;
-    let has_engines = is_alone || engines <= engines_max;
+    let has_engines = is_only_late || engines <= engines_max;
     let max_harm_units = waiting.need.worth_units(waiting.model) * options.late_worth_share;
     let is_worth_it = waiting.placement.harm_units <= max_harm_units;
-    let is_time = nobody_else || is_last_chance(waiting, options);
-    match is_time && has_engines && is_worth_it {
+    let is_due = no_other_on_time || is_last_chance(waiting, options);
+    match is_due && has_engines && is_worth_it {
         true => DispatchDecision::Dispatch,
         false => DispatchDecision::Wait,
     }
 }
 
-/// Whether a prompt that waits any longer would miss its deadline.
+/// Whether a prompt would miss its deadline if it waited any longer.
 fn is_last_chance(waiting: &WaitingPrompt<'_>, options: &DispatchOptions) -> bool {
-    let reading_ms = waiting.single_engine_ms() / options.last_engines * options.margin_factor;
-    waiting.need.deadline_left_ms < reading_ms + waiting.decode_ms() * options.write_factor
+    let prefill_ms = waiting.single_engine_ms() / options.last_engines * options.margin_factor;
+    waiting.need.deadline_left_ms < prefill_ms + waiting.decode_ms() * options.write_factor
 }
--- a/crates/mgs-placing/src/evaluation.rs
+++ b/crates/mgs-placing/src/evaluation.rs
@@ -1,4 +1,4 @@
-//! Each way to place a prompt, judged by the worth that it is expected to lose.
+//! Evaluation of the possible placements of one prompt by the worth that each is expected to lose.
 
 use crate::choose::RandomDraw;
 use crate::concurrent_choices;
@@ -16,16 +16,17 @@
 use crate::placement::PlacementError;
 use crate::placement::Shortage;
 
-/// A prompt is small if it takes less than this part of an engine's memory: one in so many.
+/// A prompt is small if it takes less than an engine's memory divided by this.
 const SMALL_DIVISOR: u64 = 6;
 
-/// Engines whose parts would end within this share of the aim of each other are as good for a part.
+/// Engines rank as equal for a part if their finishing times differ by less than this share of the
+/// first-token target.
 const PART_RANK_STEP_SHARE: f64 = 0.02;
 
-/// Numbers of engines that are tried for a prompt that is shared.
+/// Numbers of engines that are tried for a prompt.
 const WIDTHS: [usize; 9] = [1, 2, 3, 4, 6, 8, 10, 13, 16];
 
-/// One decision.
+/// The inputs of one placement decision.
 #[derive(Debug)]
 pub(crate) struct Evaluation<'a> {
     pub(crate) need: &'a Need,
@@ -33,30 +34,30 @@
     pub(crate) options: &'a PlacementOptions,
     pub(crate) engines_max: usize,
     pub(crate) engines: Vec<EngineState<'a>>,
-    /// What its being on time is worth, in units.
+    /// Worth of answering the prompt on time, in units.
     pub(crate) worth_units: f64,
-    /// Passes of an engine that its answer is expected to take.
+    /// Number of passes that the answer is expected to take.
     pub(crate) passes: f64,
-    /// Time that peers' placements take to be known here, in milliseconds.
+    /// Delay until peers' placements are known here, in milliseconds.
     pub(crate) unseen_ms: f64,
-    /// What peers place meanwhile.
+    /// Rates at which peers place prompts in the meantime.
     pub(crate) peer_rates: PeerRates,
-    /// By which it differs from others' choices.
+    /// Randomization against other gateways' choices.
     pub(crate) random: RandomDraw,
-    /// Whether it is long; see [`Options::long_aim_share`].
+    /// Whether the prompt is long; see [`PlacementOptions::long_aim_share`].
     pub(crate) is_long: bool,
-    /// Whether its answer needs so much of its time that what is read beside it counts.
+    /// Whether the prompt's stream is tight; see [`crate::stream_group::StreamGroup::is_tight`].
     pub(crate) is_tight: bool,
 }
 
 impl Evaluation<'_> {
-    /// A share of an engine's places, in streams.
+    /// A share of an engine's slots, at least one.
     fn slots_of(&self, share: f64) -> f64 {
         (f64::from(self.model.slots) * share).max(1.0)
     }
 
-    /// Engines that are left for a long prompt: without those that the short streams of the moment need,
-    /// wherever they are.
+    /// Number of engines that the current short streams don't need, on whichever engines those
+    /// streams are.
     pub(crate) fn engines_for_long(&self) -> usize {
         let short = |engine: &EngineState<'_>| f64::from(engine.running_short);
         let streams: f64 = self.engines.iter().map(short).sum();
@@ -64,7 +65,7 @@
         self.engines.len().saturating_sub(needed)
     }
 
-    /// Places of all engines that are taken, in thousandths.
+    /// Share of all engines' slots that is taken, in thousandths.
     fn slots_taken_permille(&self) -> u32 {
         let running: u32 = self.engines.iter().map(|engine| engine.running).sum();
         let slots = self.model.slots * self.engines.len() as u32;
@@ -80,15 +81,15 @@
             with_short_streams: count(|engine| engine.running_short > 0),
             with_other_streams: count(|engine| engine.running_short == 0 && engine.running > 0),
             engines_for_long: self.engines_for_long(),
-            without_reading: count(|engine| engine.backlog_ms <= 0.0),
+            without_prefill: count(|engine| engine.backlog_ms <= 0.0),
             late_engines: count(|engine| engine.held.late_parts > 0),
             backlog_ms: backlog_ms as u64,
             slots_taken_permille: self.slots_taken_permille(),
         }
     }
 
-    /// Whether memory at several engines is needed. A prompt that takes a small part of an engine's memory
-    /// rather waits there until others end.
+    /// Whether the prompt needs memory on several engines. A small prompt waits on one engine until
+    /// others end there.
     pub(crate) fn needs_reservations(&self) -> bool {
         !self.is_small() && !self.engines.iter().any(|engine| self.has_memory(engine))
     }
@@ -102,56 +103,60 @@
         engine.free_tokens >= self.need.memory_tokens() + self.spare_tokens()
     }
 
-    /// Memory of an engine that is kept free of promises, in tokens.
+    /// Memory of an engine that isn't promised to any request, in tokens.
     pub(crate) fn spare_tokens(&self) -> u64 {
         (self.model.memory_tokens as f64 * self.options.memory_spare_share) as u64
     }
 
-    /// Time until a stream ends on an engine, if those there began one after the other, in milliseconds.
+    /// Expected time until a stream ends on an engine, in milliseconds, if its streams began at
+    /// even intervals.
     fn next_slot_ms(&self, engine: &EngineState<'_>) -> f64 {
         self.mean_answer_ms(engine) / 2.0
     }
 
-    /// Time that an answer takes to be written there, in milliseconds: the passes that those there take on
-    /// average, with the reading that the engine gets as of late.
+    /// Mean time to decode an answer on an engine, in milliseconds: the mean passes of its streams
+    /// at their duration with recent prefill.
     fn mean_answer_ms(&self, engine: &EngineState<'_>) -> f64 {
         engine.held.mean_passes() * engine.busy_pass_ms
     }
 
-    /// Time that its own answer takes to be written on an engine half full, in milliseconds.
+    /// Time to decode this prompt's answer on an engine with half of its slots taken, in
+    /// milliseconds.
     pub(crate) fn decode_ms(&self) -> f64 {
         self.passes * self.model.usual_pass_ms() * self.options.write_factor
     }
 
-    /// Time that its answer takes at least, in milliseconds: a part of what its client expects, on an engine that
-    /// reads nothing.
+    /// Lower bound of the time to decode the answer, in milliseconds: part of the length that the
+    /// client expects, on an engine without prefill.
     pub(crate) fn min_decode_ms(&self) -> f64 {
-        let believed = self.need.expected_tokens as f64 * self.options.believed_share;
-        self.model.passes_for(believed as u64) as f64 * self.model.min_pass_ms()
+        let min_answer_tokens = self.need.expected_tokens as f64 * self.options.believed_share;
+        self.model.passes_for(min_answer_tokens as u64) as f64 * self.model.min_pass_ms()
     }
 
-    /// Time until there is a place and memory for an answer there, in milliseconds.
+    /// Time until an engine has a slot and memory for the answer, in milliseconds.
     fn slot_wait_ms(&self, engine: &EngineState<'_>) -> f64 {
         self.wait_ms(engine, self.model.slots)
     }
 
-    /// The same if some places are kept free, which is what an engine is chosen by.
+    /// Time until an engine has a slot beyond those kept free, in milliseconds; engines are
+    /// compared by this.
     fn slot_wait_with_spare_ms(&self, engine: &EngineState<'_>) -> f64 {
         let spare = (f64::from(self.model.slots) * self.options.slots_spare_share) as u32;
         self.wait_ms(engine, self.model.slots - spare)
     }
 
     fn wait_ms(&self, engine: &EngineState<'_>, slots: u32) -> f64 {
-        let over = (engine.running + 1).saturating_sub(slots);
-        let turns = f64::from(over) / f64::from(self.model.slots.max(1));
+        let excess_streams = (engine.running + 1).saturating_sub(slots);
+        let rounds = f64::from(excess_streams) / f64::from(self.model.slots.max(1));
         let memory_ms = match self.has_memory(engine) {
             true => 0.0,
             false => self.next_slot_ms(engine),
         };
-        turns * self.mean_answer_ms(engine) + memory_ms
+        rounds * self.mean_answer_ms(engine) + memory_ms
     }
 
-    /// Whether an engine may get one more answer to write: it queues no more than it runs.
+    /// Whether an engine may get one more request as the lead. Its queue is limited to as many
+    /// requests as it runs.
     pub(crate) fn has_slot(&self, engine: &EngineState<'_>) -> bool {
         engine.can_lead && engine.running < self.model.slots * 2
     }
@@ -159,8 +164,8 @@
     pub(crate) fn full_error(&self, shortage: Shortage) -> PlacementError {
         let backlogs = self.engines.iter().map(|engine| engine.backlog_ms);
         let backlog_ms = backlogs.fold(f64::INFINITY, f64::min);
-        let free = self.engines.iter().map(|engine| self.next_slot_ms(engine));
-        let backlog_ms = backlog_ms.max(free.fold(f64::INFINITY, f64::min));
+        let slot_times_ms = self.engines.iter().map(|engine| self.next_slot_ms(engine));
+        let backlog_ms = backlog_ms.max(slot_times_ms.fold(f64::INFINITY, f64::min));
         PlacementError::Full {
             backlog_ms,
             shortage,
@@ -188,7 +193,7 @@
         best.ok_or_else(|| self.full_error(Shortage::Slot))
     }
 
-    /// Whether a prompt of `read_ms` may be read by `width` engines.
+    /// Whether a prompt of `prefill_ms` may be prefilled by `width` engines.
     fn may_share(&self, width: usize, prefill_ms: f64) -> bool {
         if width == 1 {
             return true;
@@ -220,28 +225,28 @@
         Some(self.evaluate_shared(lead, &others, part_ms))
     }
 
-    /// Engines that may write the answer.
+    /// Engines that may decode the answer.
     fn lead_candidates(&self) -> impl Iterator<Item = &EngineState<'_>> {
-        let with_place = self.engines.iter().filter(|engine| self.has_slot(engine));
-        with_place.filter(|engine| self.is_small() || self.has_memory(engine))
+        let with_slot = self.engines.iter().filter(|engine| self.has_slot(engine));
+        with_slot.filter(|engine| self.is_small() || self.has_memory(engine))
     }
 
-    /// The engine that writes a prompt whose reading is shared: the least loss of its own part, of its place and of
-    /// its company.
+    /// The lead engine of a shared prompt: the least loss from its own part, its slot and its other
+    /// streams.
     fn lead_shared(&self, part_ms: f64) -> Option<&EngineState<'_>> {
         let loss = |engine: &EngineState<'_>| self.lead_part_loss(engine, part_ms);
         self.pick(loss, part_ms, &self.peer_rates.shared)
     }
 
-    /// The engine that reads and writes a whole prompt: one of those with the least loss, the others left to whoever
-    /// chooses at the same moment.
+    /// The engine for a whole prompt: one with a low loss, chosen at random against concurrent
+    /// choices.
     fn lead_alone(&self, prefill_ms: f64) -> Option<&EngineState<'_>> {
         let loss = |engine: &EngineState<'_>| self.alone_loss(engine, prefill_ms);
         self.pick(loss, prefill_ms, &self.peer_rates.whole)
     }
 
-    /// One of the engines with the least loss for a prompt that is read there for `read_ms`, while `others` are placed
-    /// elsewhere.
+    /// Picks one of the engines with the least loss for a prefill of `prefill_ms`, given the rate
+    /// at which others place prompts.
     fn pick(
         &self,
         loss: impl Fn(&EngineState<'_>) -> f64,
@@ -254,17 +259,18 @@
             .iter()
             .zip(&lead_candidates)
             .min_by(|(a, _), (b, _)| a.total_cmp(b))?;
-        let others_now = ConcurrentChoices {
+        let concurrent = ConcurrentChoices {
             unseen_placements: others.per_ms * self.unseen_ms * self.random.share,
             collision_units: self.collision_units(best.1, prefill_ms, others)
                 * self.options.crowd_factor,
             draw: self.random.draw,
         };
-        let picked = concurrent_choices::pick_engine(&losses, &others_now)?;
+        let picked = concurrent_choices::pick_engine(&losses, &concurrent)?;
         lead_candidates.get(picked).copied()
     }
 
-    /// What it loses for each prompt that somebody else has placed on its engine meanwhile, in units.
+    /// Added loss for each prompt that another gateway has placed on the same engine meanwhile, in
+    /// units.
     fn collision_units(
         &self,
         engine: &EngineState<'_>,
@@ -273,49 +279,52 @@
     ) -> f64 {
         let alone_ms = engine.ready_ms(prefill_ms) + self.slot_wait_with_spare_ms(engine);
         let with_one_ms = alone_ms + others.mean_prefill_ms * engine.slowness;
-        let waits = self.lateness_loss(engine, with_one_ms) - self.lateness_loss(engine, alone_ms);
-        waits + engine.prefill_harm(prefill_ms + others.mean_prefill_ms)
+        let wait_loss =
+            self.lateness_loss(engine, with_one_ms) - self.lateness_loss(engine, alone_ms);
+        wait_loss + engine.prefill_harm(prefill_ms + others.mean_prefill_ms)
             - engine.prefill_harm(prefill_ms)
     }
 
-    /// Loss by reading a part there and writing the answer.
+    /// Loss from prefilling a part on an engine that also decodes the answer, in units.
     fn lead_part_loss(&self, engine: &EngineState<'_>, part_ms: f64) -> f64 {
         let ready_ms = engine.ready_ms(part_ms);
         let wait_ms = self.slot_wait_with_spare_ms(engine);
-        let waits =
+        let wait_loss =
             self.lateness_loss(engine, ready_ms + wait_ms) - self.lateness_loss(engine, ready_ms);
-        self.part_loss(engine, part_ms) + waits + self.co_location_loss(engine)
+        self.part_loss(engine, part_ms) + wait_loss + self.co_location_loss(engine)
     }
 
-    /// Loss by reading all of the prompt there.
+    /// Loss from prefilling the whole prompt on an engine, in units.
     fn alone_loss(&self, engine: &EngineState<'_>, prefill_ms: f64) -> f64 {
-        let late = self.lateness_loss(
+        let lateness = self.lateness_loss(
             engine,
             engine.ready_ms(prefill_ms) + self.slot_wait_with_spare_ms(engine),
         );
-        late + engine.prefill_harm(prefill_ms)
+        lateness
+            + engine.prefill_harm(prefill_ms)
             + self.co_location_loss(engine)
             + self.trial_loss(engine)
     }
 
-    /// Order of an engine among those that may read a part: its loss in steps, so that engines that differ by little
-    /// are as good, and the first candidates of them are taken. Two gateways that choose at the same moment then
-    /// take engines that lie together each, and seldom the same; ordered to the last digit, both took the same
+    /// Rank of an engine for a part: its loss in coarse steps, so that nearly equal engines tie and
+    /// the first candidates are chosen. Concurrent choices of two gateways then each use
+    /// neighbouring engines and seldom the same ones; with exact ordering both chose the same
     /// sixteen.
     fn part_rank(&self, engine: &EngineState<'_>, part_ms: f64) -> u64 {
         let step_units = self.worth_units * self.options.wait_units * PART_RANK_STEP_SHARE;
         (self.part_loss(engine, part_ms) / step_units.max(f64::MIN_POSITIVE)).max(0.0) as u64
     }
 
-    /// Loss by reading a part there: the prompt's lateness if this engine were the last to be done,
-    /// and the streams there that pause. Engines with less to read are better, also where the part
-    /// would overtake what waits.
+    /// Loss from prefilling a part on an engine, in units: the lateness of the prompt if this
+    /// engine finished last, and the pauses of the streams there. Engines with less prefill rank
+    /// better, also where the part would overtake queued work.
     fn part_loss(&self, engine: &EngineState<'_>, part_ms: f64) -> f64 {
-        let late = self.lateness_loss(engine, engine.ready_ms(part_ms));
-        late + engine.prefill_harm(part_ms) + self.trial_loss(engine)
+        let lateness = self.lateness_loss(engine, engine.ready_ms(part_ms));
+        lateness + engine.prefill_harm(part_ms) + self.trial_loss(engine)
     }
 
-    /// One request at a time shows whether an engine has recovered.
+    /// Penalty for an engine on trial, in units: a single request is enough to show whether it has
+    /// recovered.
     fn trial_loss(&self, engine: &EngineState<'_>) -> f64 {
         if !engine.on_trial {
             return 0.0;
@@ -323,10 +332,10 @@
         self.worth_units * f64::from(1 + engine.running.min(4))
     }
 
-    /// What it costs others that this answer is written there: short streams belong together, the more
-    /// there are the better, so that engines with few fall free again; other streams belong together
-    /// apart from them. So do short prompts' long answers, which take long and begin seldom: where these are
-    /// together, engines read little beside them, and they end in time.
+    /// Cost to others of decoding the answer on this engine, in units. Short streams are grouped
+    /// together, the more the better, so that engines with few become free again; other streams are
+    /// grouped apart from them. Long answers to short prompts, which take long and start seldom,
+    /// are also grouped: their engines then do little prefill, and they end in time.
     fn co_location_loss(&self, engine: &EngineState<'_>) -> f64 {
         let context_tokens = self.need.prompt_tokens as f64;
         self.grouping_loss(engine) + engine.added_stream_harm(context_tokens)
@@ -336,9 +345,10 @@
         if !self.is_long {
             let same_slack = f64::from(engine.running_with_same_slack(self.is_tight));
             let missing = 1.0 - same_slack / self.slots_of(self.options.pack_share);
-            // Who writes little takes an engine from others for as much less, and isn't to be lost for it.
-            let taken = self.worth_units.min(1.0);
-            return self.options.open_units * missing.max(0.0) * taken;
+            // A prompt of less than one unit costs proportionally less, so that avoiding a new
+            // engine isn't worth more than its answer.
+            let unit_share = self.worth_units.min(1.0);
+            return self.options.open_units * missing.max(0.0) * unit_share;
         }
         if engine.running_short > 0 {
             return self.options.open_units;
@@ -346,23 +356,26 @@
         self.options.open_other_units / (1.0 + f64::from(engine.running_long()))
     }
 
-    /// What the prompt loses if its first token comes after `first_token_ms` on an engine that writes it, in
-    /// units. One whose aim has passed has only its end to lose; it isn't worth more harm to others than that.
+    /// Loss of the prompt if the lead engine emits its first token after `first_token_ms`, in
+    /// units. Once its target has passed, only ending before the deadline counts, and the prompt
+    /// justifies no more harm to others than that.
     fn lateness_loss(&self, lead: &EngineState<'_>, first_token_ms: f64) -> f64 {
         let need = self.need;
         let blur = self.options.blur;
         let left_ms = need.deadline_left_ms.max(1.0);
         let end_ms = first_token_ms + self.passes * lead.busy_pass_ms;
-        let lost = (1.0 - LATE_LOSS_SHARE) * late_probability(first_token_ms, left_ms, blur)
+        let deadline_loss = (1.0 - LATE_LOSS_SHARE)
+            * late_probability(first_token_ms, left_ms, blur)
             + self.options.end_share * late_probability(end_ms, left_ms, blur);
         if need.ttft_left_ms <= 0.0 {
-            let waits =
+            let wait_loss =
                 self.options.wait_units * (1.0 - LATE_LOSS_SHARE) * first_token_ms / left_ms;
-            return self.worth_units * (lost + waits);
+            return self.worth_units * (deadline_loss + wait_loss);
         }
-        let misses = LATE_LOSS_SHARE * late_probability(first_token_ms, need.ttft_left_ms, blur);
-        let waits = self.options.wait_units * first_token_ms / need.ttft_left_ms;
-        self.worth_units * (misses + lost + waits)
+        let target_loss =
+            LATE_LOSS_SHARE * late_probability(first_token_ms, need.ttft_left_ms, blur);
+        let wait_loss = self.options.wait_units * first_token_ms / need.ttft_left_ms;
+        self.worth_units * (target_loss + deadline_loss + wait_loss)
     }
 
     fn evaluate_alone(&self, lead: &EngineState<'_>, prefill_ms: f64) -> Placement {
@@ -418,13 +431,14 @@
         }
     }
 
-    /// How long its engines need for what was placed before, within bounds.
+    /// Time for which the prompt is held back while its engines finish earlier work, in
+    /// milliseconds, limited by [`PlacementOptions::hold_factor`].
     pub(crate) fn hold_ms(&self, prefill_engines: &[&EngineState<'_>], part_ms: f64) -> f64 {
         let longest_ms = longest_backlog_ms(prefill_engines);
         longest_ms.min(part_ms * self.options.hold_factor)
     }
 
-    /// What earlier prompts lose by this one's overtaking them.
+    /// Loss of earlier prompts that this one overtakes, in units.
     fn overtake_loss(
         &self,
         prefill_engines: &[&EngineState<'_>],
@@ -439,8 +453,9 @@
     }
 }
 
-/// The longest backlog among some engines that a prompt must let pass, in milliseconds: late prompts have only
-/// their end to lose, and engines read the newest part first.
+/// The longest backlog among the engines that the prompt must wait for, in milliseconds. Engines
+/// with parts of late prompts don't count: those prompts only need to end in time, and engines
+/// prefill the newest part first.
 pub(crate) fn longest_backlog_ms(prefill_engines: &[&EngineState<'_>]) -> f64 {
     let for_others = prefill_engines
         .iter()
--- a/crates/mgs-placing/src/late_prompt.rs
+++ b/crates/mgs-placing/src/late_prompt.rs
@@ -1,25 +1,28 @@
-//! Where a long prompt goes that can't be on time any more.
+//! Placement of a long prompt that can't meet its first-token target any more.
 //!
-//! The load that this answers: for ten seconds and more, audits ask for more reading than all engines have,
-//! and the largest of them, worth least for their reading, are passed by all others. Sent at their last
-//! chance, over as many engines as may be, several of them took nearly all engines of a large fleet for two
-//! seconds, just as the next phase of short prompts began: of 592 short prompts that came within two seconds
-//! 481 were late. Nobody gains from a late prompt's being fast, so it gets as few engines as can read it
-//! before its deadline, and the other engines stay free for those that can be on time.
+//! During overload, long prompts ask for more prefill than all engines can do for ten seconds and
+//! more, and the largest, with the least worth for their prefill, are overtaken by all others. When
+//! several of them were dispatched at the last possible moment over as many engines as allowed,
+//! they occupied nearly all engines of a large fleet for two seconds, just as a phase of short
+//! prompts began: of 592 short prompts that arrived within two seconds, 481 were late. Finishing a
+//! late prompt faster has no value, so it gets as few engines as can finish it before its deadline,
+//! and the others stay free for prompts that can be on time.
 
 use crate::evaluation::Evaluation;
 use crate::placement::Placement;
 use crate::split_memory;
 
-/// Numbers of engines that are tried, the least first. Not one: parts of other prompts go before a whole one.
+/// Numbers of engines that are tried, in ascending order. A single engine isn't: it prefills parts
+/// of other prompts before a whole prompt.
 const WIDTHS: [usize; 10] = [2, 3, 4, 5, 6, 8, 10, 12, 14, 16];
 
-/// A wider way must spare others this much, in units, to be taken: an engine more is one less for the others.
+/// Least reduction of harm for which a wider placement is preferred, in units, since each further
+/// engine is taken from other prompts.
 const MIN_WIDER_GAIN_UNITS: f64 = 0.25;
 
-/// Among the ways that end in time, the one that harms others least, and of those the narrowest; else `widest`.
-/// The narrowest in any case had engines read for four seconds at a stretch beside streams whose clients leave
-/// after two.
+/// Among the placements that end in time, the one with the least harm to others, or a narrower one
+/// with hardly more; `widest` if none ends in time. Always taking the narrowest made engines
+/// prefill for four seconds without a break beside streams whose clients disconnect after two.
 pub(crate) fn place_late_prompt(evaluation: &mut Evaluation<'_>, widest: Placement) -> Placement {
     let snapshot = widest.snapshot;
     let engines_max = evaluation.engines_max;
@@ -35,7 +38,7 @@
         if best.as_ref().is_none_or(is_better) {
             best = Some(placement);
         }
-        // Nothing wider can spare others as much any more.
+        // No wider placement can reduce the harm by enough.
         if best
             .as_ref()
             .is_some_and(|best| best.harm_units < MIN_WIDER_GAIN_UNITS)
@@ -61,6 +64,6 @@
 
 fn ends_in_time(evaluation: &Evaluation<'_>, placement: &Placement) -> bool {
     let options = evaluation.options;
-    let reading_ms = placement.first_token_ms * options.late_margin_factor;
-    reading_ms + evaluation.decode_ms() <= evaluation.need.deadline_left_ms
+    let first_token_ms = placement.first_token_ms * options.late_margin_factor;
+    first_token_ms + evaluation.decode_ms() <= evaluation.need.deadline_left_ms
 }
--- a/crates/mgs-placing/src/length_counts.rs
+++ b/crates/mgs-placing/src/length_counts.rs
@@ -1,37 +1,42 @@
-//! How often long prompts of each length are sent, so that none of them is passed over for good.
+//! Counts of long prompts by length, which keep any one length from being starved.
 //!
-//! The load that this answers: audits ask for more reading than all engines have, and some must be refused. By
-//! reading for worth these are always the longest, since reading grows with the square of the length and worth with
-//! its first power. So all gateways count what is asked of them and what they send, by kind and length, and a length
-//! that is sent less often than others of its kind goes before them.
+//! During overload, when long prompts ask for more prefill than all engines can do for ten seconds
+//! and more, some must be refused. Ordered by worth for each millisecond of prefill, the longest
+//! would always be refused, since prefill grows with the square of the length and worth only
+//! linearly. Gateways therefore count what they receive and what they dispatch by kind and length,
+//! and a length that is dispatched less often than others of its kind moves ahead of them.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Lengths are told apart by factors of the square root of two, from 4,096 tokens on, in so many steps.
+/// Largest index of a length band. Bands grow by a factor of the square root of two, starting at
+/// 4,096 tokens.
 const MAX_LENGTH_BAND: f64 = 19.0;
 
-/// What is left of a count when it is forgotten.
+/// Counts that have decayed below this are dropped.
 const MIN_COUNT: f64 = 0.05;
 
-/// Logarithm to the base of two of the length at which the bands begin.
+/// Logarithm to base 2 of the length at which the bands begin.
 const FIRST_LOG2: f64 = 12.0;
 
-/// Bands for each doubling of the length.
+/// Number of bands for each doubling of the length.
 const BANDS_PER_DOUBLING: f64 = 2.0;
 
-/// How long a prompt counts, in milliseconds: two swings of a load, which last ten seconds.
+/// Time constant with which counts decay, in milliseconds: two swings of the load, which last ten
+/// seconds.
 const DECAY_MS: f64 = 20_000.0;
 
-/// Counts are told in hundredths.
+/// Counts are sent to peers in hundredths.
 const HUNDREDTHS: f64 = 100.0;
 
-/// Prompts of any length that count besides in each band, so that a single one doesn't tell much.
+/// Prompts with the mean ratio of their kind that are added to each band, so that a single prompt
+/// has little effect.
 const PRIOR: f64 = 1.0;
 
-/// Prompts of one kind and of about one length. A kind is told by the time to the first token that it asks for.
+/// Prompts of one kind and of similar length. The kind is the first-token target that the prompts
+/// ask for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LengthBand {
     aim_ms: u32,
@@ -58,7 +63,7 @@
     }
 }
 
-/// What was asked for and sent in one band, as it fades from memory.
+/// Prompts received and dispatched in one band, with exponential decay.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct AskedAndSent {
     asked: f64,
@@ -72,29 +77,30 @@
     }
 }
 
-/// The counts of some gateways together.
+/// The summed counts of several gateways.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LengthCounts {
     bands: BTreeMap<LengthBand, AskedAndSent>,
 }
 
 impl LengthCounts {
-    /// Adds what a peer told.
+    /// Adds the counts reported by a peer.
     pub fn add(&mut self, band_counts: &[BandCount]) {
-        for band_counts in band_counts {
+        for reported in band_counts {
             let count = AskedAndSent {
-                asked: f64::from(band_counts.asked_hundredths) / HUNDREDTHS,
-                sent: f64::from(band_counts.sent_hundredths) / HUNDREDTHS,
+                asked: f64::from(reported.asked_hundredths) / HUNDREDTHS,
+                sent: f64::from(reported.sent_hundredths) / HUNDREDTHS,
             };
-            self.bands.entry(band_counts.band).or_default().add(count);
+            self.bands.entry(reported.band).or_default().add(count);
         }
     }
 
-    /// How often prompts of a band are sent beside all others of their kind; 1 if as often.
+    /// Ratio of the share of this band's prompts that is dispatched to the same share over all
+    /// bands of its kind; 1 if they are equal.
     pub fn sent_ratio(&self, band: LengthBand) -> f64 {
         let mut kind = AskedAndSent::default();
-        let same_slack = self.bands.iter();
-        for (_, count) in same_slack.filter(|(other, _)| other.aim_ms == band.aim_ms) {
+        let bands = self.bands.iter();
+        for (_, count) in bands.filter(|(other, _)| other.aim_ms == band.aim_ms) {
             kind.add(*count);
         }
         if kind.asked <= 0.0 || kind.sent <= 0.0 {
@@ -107,7 +113,7 @@
     }
 }
 
-/// A band's count as gateways tell it.
+/// The counts of one band, as gateways send them to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BandCount {
     band: LengthBand,
@@ -115,7 +121,7 @@
     sent_hundredths: u16,
 }
 
-/// What one gateway has counted.
+/// The counts of one gateway.
 ///
 /// ```
 /// use mgs_placing::length_counts::LengthBand;
@@ -139,26 +145,26 @@
 }
 
 impl LengthCounter {
-    /// A prompt of a band came.
+    /// Counts a prompt that was received.
     pub fn count_asked(&mut self, band: LengthBand, now_ms: f64) {
         self.decay(now_ms);
         self.counts.bands.entry(band).or_default().asked += 1.0;
     }
 
-    /// A prompt of a band was sent.
+    /// Counts a prompt that was dispatched.
     pub fn count_sent(&mut self, band: LengthBand, now_ms: f64) {
         self.decay(now_ms);
         self.counts.bands.entry(band).or_default().sent += 1.0;
     }
 
-    /// The counts now.
+    /// The counts decayed to `now_ms`.
     pub fn counts(&self, now_ms: f64) -> LengthCounts {
         let mut decayed = self.clone();
         decayed.decay(now_ms);
         decayed.counts
     }
 
-    /// What peers are told.
+    /// The counts to send to peers.
     pub fn band_counts(&self, now_ms: f64) -> Vec<BandCount> {
         let counts = self.counts(now_ms);
         let hundredths = |count: f64| (count * HUNDREDTHS).round() as u16;
@@ -172,10 +178,10 @@
 
     fn decay(&mut self, now_ms: f64) {
         let age_ms = (now_ms - self.at_ms).max(0.0);
-        let left = (-age_ms / DECAY_MS).exp();
+        let factor = (-age_ms / DECAY_MS).exp();
         for count in self.counts.bands.values_mut() {
-            count.asked *= left;
-            count.sent *= left;
+            count.asked *= factor;
+            count.sent *= factor;
         }
         self.counts.bands.retain(|_, count| count.asked > MIN_COUNT);
         self.at_ms = now_ms;
--- a/crates/mgs-placing/src/load_table.rs
+++ b/crates/mgs-placing/src/load_table.rs
@@ -1,9 +1,9 @@
-//! The work that has been placed on each endpoint, by this gateway and by its peers.
+//! The work placed on each endpoint, by this gateway and by its peers.
 //!
-//! What this gateway holds is known exactly. Peers say what they hold in small messages
-//! ([`crate::share`]); what a peer said counts until it says otherwise or falls silent. Reading that
-//! was placed isn't reported as done by an engine, so each endpoint has an instant at which all reading
-//! placed so far should be finished, and a first token corrects it.
+//! The gateway's own load is known exactly. Peers report theirs in small messages
+//! ([`crate::peer_message`]); a report counts until the peer sends another or falls silent. Engines
+//! don't report when a prefill is done, so the table predicts for each endpoint when all prefill
+//! placed so far will be finished, and corrects the prediction when a first token arrives.
 
 use std::collections::HashMap;
 
@@ -19,42 +19,45 @@
 use crate::stream_group;
 use crate::stream_group::StreamGroup;
 
-/// A peer's word counts for this long, in milliseconds: four of its longest intervals.
+/// Time after which a silent peer's report is discarded, in milliseconds: four of the longest
+/// intervals between messages.
 pub const PEER_SILENCE_MS: f64 = 1_200.0;
 
-/// Reading placed longer ago than the longest deadline says nothing about an engine.
+/// Upper bound of a backlog, in milliseconds: prefill placed longer ago than the longest deadline
+/// says nothing about an engine.
 const BACKLOG_MAX_MS: f64 = 15_000.0;
 
-/// How long placed reading counts as recent, in milliseconds: long beside a pass of an engine, short beside
-/// the swings of a load, which last seconds.
+/// Time constant with which past prefill and placements decay, in milliseconds: long compared with
+/// a pass of an engine, short compared with load swings, which last seconds.
 const DECAY_MS: f64 = 1_000.0;
 
-/// Most of its time that an endpoint is taken to read while it writes: what exceeds it is backlog.
+/// Largest share of its time that an endpoint is assumed to spend on prefill while it decodes;
+/// anything beyond that is backlog.
 const PREFILL_SHARE_MAX: f64 = 0.7;
 
-/// Identifier of a peer: its incarnation.
+/// Identifies a peer by its incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PeerKey(pub u64);
 
-/// What one gateway holds at one endpoint.
+/// The load that one gateway has placed on one endpoint.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoad {
-    /// Streams that are or will be written there, by limit on pauses.
+    /// Streams that are or will be decoded there, grouped by [`StreamGroup`].
     pub streams: Vec<StreamGroup>,
-    /// Parts of prompts of other endpoints that it reads.
+    /// Parts of prompts that it prefills for other lead engines.
     pub parts: u16,
-    /// Those among them that belong to prompts that are late anyway.
+    /// Those of `parts` that belong to prompts that will miss their first-token target in any case.
     pub late_parts: u16,
-    /// Reading of shared prompts that isn't known to be done, in milliseconds.
+    /// Prefill of shared prompts that isn't known to be finished, in milliseconds.
     pub shared_read_ms: u32,
     /// Calls of a plain service that run there.
     pub calls: u16,
-    /// Memory that prompts and answers take, in tokens.
+    /// Memory taken by prompts and answers, in tokens.
     pub memory_tokens: u32,
 }
 
 impl EndpointLoad {
-    /// Nothing.
+    /// No load.
     const EMPTY: Self = Self {
         streams: Vec::new(),
         parts: 0,
@@ -64,31 +67,32 @@
         memory_tokens: 0,
     };
 
-    /// Whether nothing is held.
+    /// Whether there is no load at all.
     pub fn is_empty(&self) -> bool {
         *self == Self::EMPTY
     }
 
-    /// How many streams are or will be written.
+    /// Number of streams that are or will be decoded.
     pub fn running(&self) -> u32 {
         let counts = self.streams.iter().map(|streams| u32::from(streams.count));
         counts.sum()
     }
 
-    /// Those of them that answer prompts which aren't long.
+    /// Number of streams that answer short prompts.
     pub fn running_short(&self) -> u32 {
         let short = self.streams.iter().filter(|streams| !streams.is_long);
         short.map(|streams| u32::from(streams.count)).sum()
     }
 
-    /// Those among the short ones that are tight; see [`Streams::is_tight`].
+    /// Number of streams that answer short prompts and are tight; see [`StreamGroup::is_tight`].
     pub fn running_tight(&self) -> u32 {
         let is_tight = |streams: &&StreamGroup| !streams.is_long && streams.is_tight();
         let tight = self.streams.iter().filter(is_tight);
         tight.map(|streams| u32::from(streams.count)).sum()
     }
 
-    /// Passes that their answers are expected to take from beginning to end, on average; 0 without streams.
+    /// Mean number of passes that an answer is expected to take from beginning to end; 0 without
+    /// streams.
     pub fn mean_passes(&self) -> f64 {
         let passes: u32 = self.streams.iter().map(|streams| streams.passes).sum();
         f64::from(passes) / f64::from(self.running().max(1))
@@ -113,21 +117,21 @@
     }
 }
 
-/// The work of one endpoint.
+/// The work placed on one endpoint.
 #[derive(Debug, Clone, Default)]
 struct EndpointWork {
     own: EndpointLoad,
-    /// By this gateway and its peers.
+    /// Load placed by this gateway and its peers.
     total: EndpointLoad,
     prefill_done_ms: f64,
     passes: PassTimeline,
-    /// Reading placed of late, in milliseconds, as it fades from memory.
+    /// Recently placed prefill with exponential decay, in milliseconds, as of `recent_at_ms`.
     recent_prefill_ms: f64,
     recent_at_ms: f64,
 }
 
 impl EndpointWork {
-    /// What is left in memory of the reading that was placed before `now_ms`.
+    /// The value of the field `recent_prefill_ms` decayed to `now_ms`.
     fn recent_prefill_ms(&self, now_ms: f64) -> f64 {
         let age_ms = (now_ms - self.recent_at_ms).max(0.0);
         self.recent_prefill_ms * (-age_ms / DECAY_MS).exp()
@@ -136,31 +140,31 @@
 
 #[derive(Debug, Default)]
 struct Peer {
-    heard_ms: f64,
+    reported_ms: f64,
     zone: ZoneKey,
     waiting: QueueHeads,
     lengths: Vec<BandCount>,
     held: Vec<(EndpointKey, EndpointLoad)>,
 }
 
-/// Names an availability zone among gateways; 0 if it isn't told.
+/// Identifies an availability zone among gateways; 0 if unknown.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneKey(pub u32);
 
-/// What a peer says of itself.
+/// What a peer reports about itself.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PeerReport {
     /// Its availability zone.
     pub zone: ZoneKey,
-    /// Who goes first among the prompts that wait there.
+    /// The best scores among the prompts that wait there.
     pub waiting: QueueHeads,
-    /// How often prompts of each length were asked of it and sent by it.
+    /// Its counts of prompts by length: how many it received and how many it dispatched.
     pub lengths: Vec<BandCount>,
-    /// All that it holds.
+    /// All the load that it has placed.
     pub held: Vec<(EndpointKey, EndpointLoad)>,
 }
 
-/// The work of all endpoints, an arena by [`EndpointKey`].
+/// The work of all endpoints, indexed by [`EndpointKey`].
 #[derive(Debug, Default)]
 pub struct LoadTable {
     work: Vec<EndpointWork>,
@@ -169,7 +173,7 @@
     peer_shared: DecayingRate,
 }
 
-/// Prompts that peers placed, as they fade from memory.
+/// Prompts placed by peers, with exponential decay.
 #[derive(Debug, Default)]
 struct DecayingRate {
     prompts: f64,
@@ -179,45 +183,45 @@
 
 impl DecayingRate {
     fn add(&mut self, now_ms: f64, prefill_ms: f64) {
-        let left = self.decay(now_ms);
-        self.prompts = self.prompts * left + 1.0;
-        self.prefill_ms = self.prefill_ms * left + prefill_ms;
+        let factor = self.decay_factor(now_ms);
+        self.prompts = self.prompts * factor + 1.0;
+        self.prefill_ms = self.prefill_ms * factor + prefill_ms;
         self.at_ms = now_ms;
     }
 
-    fn decay(&self, now_ms: f64) -> f64 {
+    fn decay_factor(&self, now_ms: f64) -> f64 {
         let age_ms = (now_ms - self.at_ms).max(0.0);
         (-age_ms / DECAY_MS).exp()
     }
 
     fn rate(&self, now_ms: f64) -> PlacementRate {
         PlacementRate {
-            per_ms: self.prompts * self.decay(now_ms) / DECAY_MS,
+            per_ms: self.prompts * self.decay_factor(now_ms) / DECAY_MS,
             mean_prefill_ms: self.prefill_ms / self.prompts.max(f64::MIN_POSITIVE),
         }
     }
 }
 
-/// How often peers place prompts.
+/// Rate at which peers place prompts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlacementRate {
-    /// Prompts in a millisecond, by all peers.
+    /// Prompts per millisecond, from all peers together.
     pub per_ms: f64,
-    /// Mean reading of one at each of its engines, in milliseconds.
+    /// Mean prefill of such a prompt at each of its engines, in milliseconds.
     pub mean_prefill_ms: f64,
 }
 
-/// What peers place, as of late.
+/// Recent placement rates of all peers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PeerRates {
-    /// Prompts that one engine reads.
+    /// Prompts that one engine prefills alone.
     pub whole: PlacementRate,
-    /// Prompts that several engines read.
+    /// Prompts that several engines prefill together.
     pub shared: PlacementRate,
 }
 
 impl LoadTable {
-    /// Nothing placed yet.
+    /// Creates a table without any load.
     pub fn new() -> Self {
         Self::default()
     }
@@ -234,21 +238,21 @@
         self.work.get(endpoint.0 as usize)
     }
 
-    /// This gateway holds more at an endpoint.
+    /// Adds load that this gateway places on an endpoint.
     pub fn add_own(&mut self, endpoint: EndpointKey, held: &EndpointLoad) {
         let work = self.work_mut(endpoint);
         work.own.add(held);
         work.total.add(held);
     }
 
-    /// This gateway holds less at an endpoint.
+    /// Removes load that this gateway has placed on an endpoint.
     pub fn remove_own(&mut self, endpoint: EndpointKey, held: &EndpointLoad) {
         let work = self.work_mut(endpoint);
         work.own.subtract(held);
         work.total.subtract(held);
     }
 
-    /// Reading was placed, by this gateway or a peer.
+    /// Records prefill placed on an endpoint by this gateway or a peer.
     pub fn add_prefill(&mut self, endpoint: EndpointKey, now_ms: f64, prefill_ms: f64) {
         let work = self.work_mut(endpoint);
         let start_ms = work.prefill_done_ms.max(now_ms);
@@ -259,8 +263,8 @@
         work.passes.add_prefill(now_ms, prefill_ms, is_decoding);
     }
 
-    /// A peer placed reading, or gave it up: engines that refused a prompt would else seem to read it, and others be
-    /// refused for it.
+    /// Records prefill that a peer placed or gave up. Without the latter, an engine that refused a
+    /// prompt would still seem busy with it, and other prompts would be refused because of that.
     pub fn add_peer_prefill(
         &mut self,
         endpoint: EndpointKey,
@@ -279,7 +283,7 @@
         }
     }
 
-    /// How often peers place prompts, as of late.
+    /// Recent rates at which peers place prompts.
     pub fn peer_rates(&self, now_ms: f64) -> PeerRates {
         PeerRates {
             whole: self.peer_whole.rate(now_ms),
@@ -287,7 +291,8 @@
         }
     }
 
-    /// Reading ended `early_ms` before the prediction (negative: after it), or was given up.
+    /// Corrects the prediction for prefill that ended `early_ms` before it was due (negative:
+    /// after), or that was given up.
     pub fn correct_prefill(&mut self, endpoint: EndpointKey, now_ms: f64, early_ms: f64) {
         let work = self.work_mut(endpoint);
         work.passes.remove_prefill(now_ms, early_ms);
@@ -298,12 +303,12 @@
         }
     }
 
-    /// Whether a peer is heard.
+    /// Whether a report of this peer is held.
     pub fn knows_peer(&self, peer: PeerKey) -> bool {
         self.peers.contains_key(&peer)
     }
 
-    /// A peer said all that it holds.
+    /// Replaces a peer's report by a full one.
     pub fn replace_peer(&mut self, peer: PeerKey, now_ms: f64, report: PeerReport) {
         let before = self.peers.remove(&peer).unwrap_or_default();
         for (endpoint, old) in &before.held {
@@ -312,18 +317,18 @@
         for (endpoint, new) in &report.held {
             self.work_mut(*endpoint).total.add(new);
         }
-        let heard_ms = now_ms;
-        let heard = Peer {
-            heard_ms,
+        let reported_ms = now_ms;
+        let known = Peer {
+            reported_ms,
             zone: report.zone,
             waiting: report.waiting,
             lengths: report.lengths,
             held: report.held,
         };
-        self.peers.insert(peer, heard);
+        self.peers.insert(peer, known);
     }
 
-    /// A peer that was heard before holds more.
+    /// Adds to the report of a known peer; does nothing for an unknown one.
     pub fn extend_peer(
         &mut self,
         peer: PeerKey,
@@ -331,23 +336,23 @@
         waiting: QueueHeads,
         more: Vec<(EndpointKey, EndpointLoad)>,
     ) {
-        let Some(heard) = self.peers.get_mut(&peer) else {
+        let Some(known) = self.peers.get_mut(&peer) else {
             return;
         };
-        heard.heard_ms = now_ms;
-        heard.waiting = waiting;
+        known.reported_ms = now_ms;
+        known.waiting = waiting;
         for (endpoint, held) in &more {
             self.work_mut(*endpoint).total.add(held);
         }
-        // Taken away endpoint by endpoint by the next whole message.
+        // The next full report subtracts these entries, endpoint by endpoint.
         self.peers
             .entry(peer)
-            .and_modify(|heard| heard.held.extend(more));
+            .and_modify(|known| known.held.extend(more));
     }
 
-    /// Forgets peers that fell silent; answers who they were.
+    /// Discards the reports of silent peers and returns the keys of those peers.
     pub fn expire(&mut self, now_ms: f64) -> Vec<PeerKey> {
-        let silent = |peer: &Peer| now_ms - peer.heard_ms > PEER_SILENCE_MS;
+        let silent = |peer: &Peer| now_ms - peer.reported_ms > PEER_SILENCE_MS;
         let gone: Vec<PeerKey> = self
             .peers
             .iter()
@@ -361,19 +366,19 @@
         gone
     }
 
-    /// Who goes first among the prompts that wait at peers.
+    /// The best scores among the prompts that wait at peers.
     pub fn peer_heads(&self) -> QueueHeads {
         let waiting = self.peers.values().map(|peer| peer.waiting);
         waiting.fold(QueueHeads::default(), QueueHeads::merge)
     }
 
-    /// The same among peers of one availability zone.
+    /// The best scores among the prompts that wait at peers in one availability zone.
     pub fn peer_heads_in(&self, zone: ZoneKey) -> QueueHeads {
         let waiting = self.in_zone(zone).map(|peer| peer.waiting);
         waiting.fold(QueueHeads::default(), QueueHeads::merge)
     }
 
-    /// How many peers of one availability zone have been heard of late.
+    /// Number of peers in one availability zone that reported recently.
     pub fn peer_count_in(&self, zone: ZoneKey) -> usize {
         self.in_zone(zone).count()
     }
@@ -383,24 +388,24 @@
         peers.filter(move |peer| peer.zone == zone)
     }
 
-    /// Adds what peers counted of each length to this gateway's own counts.
+    /// Adds the length counts of all peers to `counts`.
     pub fn add_length_counts(&self, counts: &mut LengthCounts) {
         for peer in self.peers.values() {
             counts.add(&peer.lengths);
         }
     }
 
-    /// The peers that count.
+    /// The peers whose reports are held.
     pub fn peer_keys(&self) -> impl Iterator<Item = PeerKey> + '_ {
         self.peers.keys().copied()
     }
 
-    /// How many peers have been heard of late.
+    /// Number of peers that reported recently.
     pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// What this gateway holds, without the endpoints at which it holds nothing.
+    /// This gateway's load at each endpoint where it has any.
     pub fn own_loads(&self) -> Vec<(EndpointKey, EndpointLoad)> {
         let mut all = Vec::new();
         for (index, work) in self.work.iter().enumerate() {
@@ -411,48 +416,49 @@
         all
     }
 
-    /// What everybody holds at an endpoint.
+    /// The load at an endpoint, from all gateways.
     pub fn load(&self, endpoint: EndpointKey) -> &EndpointLoad {
         const EMPTY: &EndpointLoad = &EndpointLoad::EMPTY;
         self.work(endpoint).map_or(EMPTY, |work| &work.total)
     }
 
-    /// The length of an endpoint's passes is known, in milliseconds.
+    /// Sets the duration of a pass of an endpoint without prefill, in milliseconds.
     pub fn set_pass_ms(&mut self, endpoint: EndpointKey, pass_ms: f64) {
         self.work_mut(endpoint).passes.set_pass_ms(pass_ms);
     }
 
-    /// An event of a stream that an endpoint writes has come.
+    /// Records the arrival of an event of a stream that the endpoint decodes.
     pub fn record_stream_event(&mut self, endpoint: EndpointKey, now_ms: f64) {
         self.work_mut(endpoint).passes.record_event(now_ms);
     }
 
-    /// When an endpoint's passes end.
+    /// The predicted pass boundaries of an endpoint.
     pub fn pass_timeline(&self, endpoint: EndpointKey) -> PassTimeline {
         self.work(endpoint)
             .map_or_else(PassTimeline::default, |work| work.passes.clone())
     }
 
-    /// Share of its time that an endpoint has spent on reading of late.
+    /// Recent share of its time that an endpoint has spent on prefill.
     pub fn recent_prefill_share(&self, endpoint: EndpointKey, now_ms: f64) -> f64 {
         let recent_ms = self
             .work(endpoint)
             .map_or(0.0, |work| work.recent_prefill_ms(now_ms));
-        // In hundredths: engines that differ by less are alike, and the first of them is as good.
+        // Rounded to hundredths, so that engines with a smaller difference compare equal and the
+        // first of them is chosen.
         ((recent_ms / DECAY_MS * 100.0).round() / 100.0).min(PREFILL_SHARE_MAX)
     }
 
-    /// Time until all reading placed so far should be done, in milliseconds.
+    /// Predicted time until all prefill placed so far is finished, in milliseconds.
     ///
-    /// An engine may be behind: a prompt that was overtaken, or passes that took longer. As long as shared
-    /// prompts haven't shown their first token, `unknown_share` of their reading counts as still to be
-    /// done.
+    /// An engine may be behind the prediction, because a prompt was overtaken or passes took
+    /// longer. While shared prompts haven't shown their first token, `unknown_share` of their
+    /// prefill counts as unfinished.
     pub fn backlog_ms(&self, endpoint: EndpointKey, now_ms: f64, unknown_share: f64) -> f64 {
         let Some(work) = self.work(endpoint) else {
             return 0.0;
         };
         let unknown_ms = f64::from(work.total.shared_read_ms);
-        let by_plan_ms = work.prefill_done_ms - now_ms;
-        by_plan_ms.max(unknown_ms * unknown_share)
+        let predicted_ms = work.prefill_done_ms - now_ms;
+        predicted_ms.max(unknown_ms * unknown_share)
     }
 }
--- a/crates/mgs-placing/src/model.rs
+++ b/crates/mgs-placing/src/model.rs
@@ -1,4 +1,4 @@
-//! How long an engine takes, from the figures that its operator declares.
+//! Performance model of an engine, from figures that its operator declares.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,35 +7,35 @@
 
 /// The declared figures of the engines of one service.
 ///
-/// An engine works in passes. A pass with at least one writing request makes `stride_steps` steps and
-/// then shows one event for each of them; what is read meanwhile lengthens the pass.
+/// An engine works in passes. A pass with at least one decoding request makes `stride_steps` steps
+/// and then emits one event for each such request. Prefill that runs in the same pass lengthens it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineModel {
-    /// Requests that run at once.
+    /// Requests that run at the same time.
     pub slots: u32,
     /// Memory for prompts and answers, in tokens.
     pub memory_tokens: u64,
-    /// Steps of a pass that includes writers.
+    /// Steps of a pass with decoding requests.
     pub stride_steps: u32,
-    /// Time of one step, in milliseconds.
+    /// Duration of one step, in milliseconds.
     pub step_ms: f64,
-    /// Added to a step by each writing request, in milliseconds.
+    /// Added to a step by each decoding request, in milliseconds.
     pub writer_step_ms: f64,
-    /// Added to a step by each 1,000 tokens of context of a writing request, in milliseconds.
+    /// Added to a step by each 1,000 tokens of context of a decoding request, in milliseconds.
     pub context_step_ms_per_1k: f64,
-    /// Prompt tokens read in a millisecond, the cost of pairs aside.
+    /// Prompt tokens prefilled per millisecond, without the cost of attention between token pairs.
     pub read_tokens_per_ms: f64,
-    /// Most prompt tokens read in a step.
+    /// Most prompt tokens prefilled in a step.
     pub chunk_tokens: u64,
-    /// Cost of a million pairs of a token and an earlier one, in milliseconds.
+    /// Attention cost of a million pairs of a token and an earlier one, in milliseconds.
     pub pair_ms_per_million: f64,
-    /// Mean length of the prompts that the operator expects, in tokens.
+    /// Mean prompt length that the operator expects, in tokens.
     pub usual_prompt_tokens: f64,
-    /// Mean length of the answers that the operator expects, in tokens.
+    /// Mean answer length that the operator expects, in tokens.
     pub usual_answer_tokens: f64,
 }
 
-/// What one more writing request adds to a pass of an engine.
+/// What one more decoding request adds to a pass of an engine.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DecodeCost {
     /// Without any context, in milliseconds.
@@ -45,7 +45,7 @@
 }
 
 impl DecodeCost {
-    /// The same with a context, in milliseconds.
+    /// The added time with a context of `context_tokens`, in milliseconds.
     pub(crate) fn with_context_ms(self, context_tokens: f64) -> f64 {
         self.base_ms + self.per_1k_tokens_ms * context_tokens / 1e3
     }
@@ -71,7 +71,7 @@
 }
 
 impl EngineModel {
-    /// Time to read a prompt on one idle engine, in milliseconds.
+    /// Time to prefill a prompt on one idle engine, in milliseconds.
     ///
     /// ```
     /// use mgs_placing::model::EngineModel;
@@ -88,12 +88,13 @@
         tokens / self.read_tokens_per_ms + pairs_ms + steps_ms
     }
 
-    /// Size of the usual request in read tokens; the unit of worth.
+    /// Size of the usual request in prefill tokens, which defines one unit of worth.
     pub(crate) fn usual_size_tokens(&self) -> f64 {
         size_tokens(self.usual_prompt_tokens, self.usual_answer_tokens).max(1.0)
     }
 
-    /// Time of a pass of an engine with half of its places taken by usual requests, in milliseconds.
+    /// Duration of a pass without prefill on an engine with half of its slots taken by usual
+    /// requests, in milliseconds.
     ///
     /// ```
     /// use mgs_placing::model::EngineModel;
@@ -106,19 +107,21 @@
         self.pass_ms(decoding, context_tokens as u64)
     }
 
-    /// Time of a pass that writes nearly nothing and reads nothing, in milliseconds.
+    /// Duration of a pass without prefill and without any decoding request's added cost, in
+    /// milliseconds.
     pub fn min_pass_ms(&self) -> f64 {
         self.pass_ms(0, 0)
     }
 
-    /// Passes that it takes to write an answer of so many tokens, the one that shows the first token included.
+    /// Passes needed to decode an answer of `answer_tokens`, including the one that emits the first
+    /// token.
     pub fn passes_for(&self, answer_tokens: u64) -> u64 {
         answer_tokens
             .div_ceil(u64::from(self.stride_steps.max(1)))
             .max(1)
     }
 
-    /// What one more writing request adds to a pass.
+    /// What one more decoding request adds to a pass.
     pub(crate) fn decode_cost(&self) -> DecodeCost {
         let steps = f64::from(self.stride_steps);
         DecodeCost {
@@ -127,7 +130,8 @@
         }
     }
 
-    /// Time of a pass that writes for `writers` requests and reads nothing, in milliseconds.
+    /// Duration of a pass that decodes for `decoding` requests and does no prefill, in
+    /// milliseconds.
     pub fn pass_ms(&self, decoding: u32, context_tokens: u64) -> f64 {
         let context_ms = context_tokens as f64 / 1e3 * self.context_step_ms_per_1k;
         let step_ms = self.step_ms + f64::from(decoding) * self.writer_step_ms + context_ms;
--- a/crates/mgs-placing/src/need.rs
+++ b/crates/mgs-placing/src/need.rs
@@ -1,50 +1,53 @@
-//! What one prompt asks of the engines, and what it is worth to be on time.
+//! The requirements of one prompt, and the worth of answering it on time.
 
 use crate::model::EngineModel;
 
-/// A written token's share of a request's size, in read tokens: engines write a token in about the time in
-/// which they read ten.
+/// Size of an answer token in prefill tokens: engines decode one token in about the time in which
+/// they prefill ten.
 pub const DECODE_COST_FACTOR: f64 = 10.0;
 
-/// Share of a request's worth that is lost when it is late: sheets pay about a quarter for late answers.
+/// Share of a request's worth that is lost when it is late: price sheets pay about a quarter for
+/// late answers.
 pub const LATE_LOSS_SHARE: f64 = 0.75;
 
-/// One prompt.
+/// The requirements of one prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Need {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Most tokens of the answer.
     pub output_tokens: u64,
-    /// Tokens that the answer is expected to have.
+    /// Expected tokens of the answer.
     pub expected_tokens: u64,
-    /// Longest pause between events for which the answer is on time, in milliseconds.
+    /// Longest pause between events at which the answer is on time, in milliseconds.
     pub pause_ms: f64,
-    /// Time to the first token for which the answer is on time, from the request's arrival, in milliseconds.
+    /// Target for the first token, from the request's arrival, in milliseconds.
     pub ttft_target_ms: f64,
-    /// The same from now; 0 or less once it has passed.
+    /// Time left until the first-token target, from now, in milliseconds; 0 or less once it has
+    /// passed.
     pub ttft_left_ms: f64,
-    /// Time until the request must have ended, from now, in milliseconds.
+    /// Time left until the request's deadline, from now, in milliseconds.
     pub deadline_left_ms: f64,
-    /// Longest silence that the client bears before the first event and between two, in milliseconds; then it
-    /// leaves, and what was written for it is lost.
+    /// Longest silence that the client tolerates before the first event and between events, in
+    /// milliseconds. It then disconnects, and the work done for it is lost.
     pub patience_ms: f64,
 }
 
 impl Need {
-    /// Memory that it takes, in tokens.
+    /// Memory for the prompt and the longest answer, in tokens.
     pub fn memory_tokens(&self) -> u64 {
         self.prompt_tokens + self.output_tokens
     }
 
-    /// Time until the first token must have come, from now, in milliseconds: by then the client leaves.
+    /// Time left for the first token, from now, in milliseconds: until the client disconnects or
+    /// the deadline passes.
     pub fn first_token_limit_ms(&self) -> f64 {
         let waited_ms = self.ttft_target_ms - self.ttft_left_ms;
         self.deadline_left_ms.min(self.patience_ms - waited_ms)
     }
 
-    /// Share of the time after a first token `after_ms` from now that writing the answer alone leaves for others
-    /// beside it; 0 if it can't end by its deadline.
+    /// Share of the time between a first token `first_token_ms` from now and the deadline that
+    /// isn't needed for decoding the answer; 0 if the answer can't end in time.
     ///
     /// ```
     /// use mgs_placing::model::EngineModel;
@@ -71,15 +74,15 @@
         (1.0 - decode_ms / left_ms).clamp(0.0, 1.0)
     }
 
-    /// What its being on time counts beside other requests: its size as a multiple of the usual request's,
-    /// since operators declare no worth and callers who send more wait for more.
+    /// Worth of answering on time, in units: the request's size as a multiple of the usual
+    /// request's, since operators declare no worth and callers who send more wait for more.
     pub fn worth_units(&self, model: &EngineModel) -> f64 {
         size_tokens(self.prompt_tokens as f64, self.expected_tokens as f64)
             / model.usual_size_tokens()
     }
 }
 
-/// Size of a request in read tokens.
+/// Size of a request in prefill tokens.
 ///
 /// ```
 /// use mgs_placing::need::size_tokens;
--- a/crates/mgs-placing/src/options.rs
+++ b/crates/mgs-placing/src/options.rs
@@ -1,85 +1,96 @@
-//! Figures of the choice of engines. None of them is a size, a speed or a limit of some deployment: those are
-//! declared with the engines or sent with each request.
+//! Parameters for the choice of engines. They don't depend on a deployment's sizes, speeds or
+//! limits, which are declared with the engines or sent with each request.
 
 use crate::setting_text::apply_settings;
 use crate::setting_text::Setting;
 
-/// Settings of [`crate::choose::choose`].
+/// Options of [`crate::choose::choose_engines`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementOptions {
-    /// A prompt whose reading takes less than this on one engine isn't shared, in passes of an engine that
-    /// writes; below that the hop costs more than it saves.
+    /// Least prefill time on one engine at which a prompt is shared, in passes of a decoding
+    /// engine; below it the extra hop costs more than it saves.
     pub share_from_passes: f64,
-    /// Most engines that read one prompt; the engines take 16 helpers beside the first.
+    /// Most engines that prefill one prompt; engines support 16 helpers beside the lead.
     pub engines_max: usize,
-    /// Share of all engines that may read a prompt that isn't long and can't be on time any more: it isn't to
-    /// stand in the way of short prompts, whose number may be several times as large a second later.
+    /// Largest share of all engines that may prefill a short prompt that can't be on time any more,
+    /// so that it doesn't block other short prompts, whose rate may grow several times within a
+    /// second.
     pub late_engines_share: f64,
-    /// Factor by which an answer takes longer to be written than its passes would without any reading.
+    /// Ratio of the time to decode an answer to the duration of its passes without prefill.
     pub write_factor: f64,
-    /// Factor by which the reading of a late prompt may take longer than predicted: it is long under way, and
+    /// Ratio to the prediction that the prefill of a late prompt may take: it runs for long, and
     /// newer parts go first.
     pub late_margin_factor: f64,
-    /// Least part of a prompt that is worth a helper: its reading, in passes of an engine that writes.
+    /// Least prefill of one part, in passes of a decoding engine, that justifies a helper.
     pub part_min_passes: f64,
-    /// Places of an engine, as a share, that are left free while others have room: a part of a prompt needs
-    /// one too, and what peers have placed in the last milliseconds isn't known yet.
+    /// Share of an engine's slots that is kept free while other engines have room: a part of a
+    /// prompt needs a slot too, and peers' placements of the last milliseconds aren't known yet.
     pub slots_spare_share: f64,
-    /// Places of an engine, as a share, that short streams take with time to spare: at 50 ms a pass and 33
-    /// events a stream, 9 of 16 are 5.5 starts a second, and their reading takes a quarter of its time.
+    /// Share of an engine's slots that short streams can take without being late: at 50 ms a pass
+    /// and 33 events a stream, 9 of 16 slots mean 5.5 starts per second, whose prefill takes a
+    /// quarter of the engine's time.
     pub streams_share: f64,
-    /// A prompt is long if reading it on one engine takes more than this share of its aim: it needs several,
-    /// and keeps to those that short streams leave.
+    /// A prompt is long if its prefill on one engine takes more than this share of its first-token
+    /// target: it needs several engines and is kept to those that short streams don't need.
     pub long_aim_share: f64,
-    /// Engines that a long prompt may use even if there is no room, when its deadline forces it.
+    /// Engines that a long prompt may use even if short streams need them all, when its deadline
+    /// forces it.
     pub room_min: usize,
-    /// Cost of a short stream's start on an engine without short streams, in units: it takes the engine
-    /// from long prompts while it writes. Less for prompts of less than a unit.
+    /// Cost of the first short stream on an engine, in units: while it is decoded, long prompts
+    /// can't use the engine. Proportionally less for prompts of less than one unit.
     pub open_units: f64,
-    /// Places of an engine, as a share, from which on one more short stream counts as good company as with
-    /// any other number. Above the share that is kept free, engines would be filled before others are used.
+    /// Share of an engine's slots from which on further short streams bring no further benefit of
+    /// grouping. A value above the share that isn't kept free would fill engines before others are
+    /// used.
     pub pack_share: f64,
-    /// Width of the step from on time to late for a first token, as a share of the aim.
+    /// Width of the transition from on time to late for a first token, as a share of the target.
     pub blur: f64,
-    /// The same for another stream on an engine without streams, in units: a pass that writes is long, so
-    /// reading that engine's part of a prompt ends late.
+    /// Cost of the first stream of a long prompt on an engine, in units: passes with decoding are
+    /// long, so a part that the engine prefills ends late.
     pub open_other_units: f64,
-    /// Cost of each further engine that reads, in units; it breaks ties only.
+    /// Cost of each further engine that prefills, in units; it only breaks ties.
     pub engine_units: f64,
-    /// Longest time for which a shared prompt is held back until its engines are done with earlier ones,
-    /// as a multiple of its own part's reading. Engines read the newest part first, so one that isn't
-    /// held delays the earlier ones: a short one may, a long one waits.
+    /// Longest time for which a shared prompt is held back until its engines have finished earlier
+    /// work, as a multiple of the prefill of one part. Engines prefill the newest part first, so a
+    /// prompt that isn't held back delays earlier ones: acceptable for a short one, while a long
+    /// one waits.
     pub hold_factor: f64,
-    /// Share of a request's worth that counts as lost if its answer is expected to end after its deadline.
+    /// Share of a request's worth that counts as lost if its answer is expected to end after the
+    /// deadline.
     pub end_share: f64,
     /// Cost of delaying earlier prompts by a second, in units.
     pub overtake_units: f64,
-    /// Cost of being a full time aim late for the first token when all is within aims, in units.
+    /// Cost of waiting for as long as the first-token target while the target is met, in units.
     pub wait_units: f64,
-    /// Share of the reading of shared prompts without a first token that counts as still to be done: half
-    /// of their parts, which end together at best, are done when they are half through.
+    /// Share of the prefill of shared prompts without a first token that counts as unfinished: half
+    /// of the parts, which end together at best, are finished when the prompt is halfway through.
     pub unknown_share: f64,
-    /// Share of the length that a client expects which its answer is taken to have at least. Expectations are right
-    /// at the median; at a spread of a half, nine of ten answers are longer than half of them.
+    /// Share of the expected answer length that an answer is assumed to reach at least. Expected
+    /// lengths are right at the median; at a spread of a half, nine of ten answers are longer than
+    /// half of them.
     pub believed_share: f64,
-    /// Time that others' placements take to be known here, in milliseconds, without what telling takes: one or two on
-    /// the way, and now and then a part of the 15 between two messages.
+    /// Delay until peers' placements are known here, in milliseconds, without the time to send to
+    /// each peer: one or two in transit, and at times a part of the 15 between two messages.
     pub unseen_ms: f64,
-    /// The same for each peer that is told: a host with a tenth of a core tells a hundred in some 25 ms.
+    /// Added to `unseen_ms` for each peer, in milliseconds: a host with a tenth of a core needs
+    /// about 25 ms to send to a hundred peers.
     pub unseen_ms_per_peer: f64,
-    /// Engines that an availability zone must have for its gateways to choose there first, as a multiple of those that
-    /// the widest prompt takes: while one is read, the next must find nearly as many.
+    /// Least number of engines in an availability zone for its gateways to prefer it, as a multiple
+    /// of the engines that the widest prompt takes: while one is prefilled, the next must find
+    /// nearly as many.
     pub near_engines_factor: f64,
-    /// Share of its aim within which a prompt's first token must be expected from its own availability zone for other
-    /// zones not to be looked at.
+    /// Largest share of its first-token target that a prompt may be expected to take in its own
+    /// availability zone for other zones not to be considered.
     pub near_aim_share: f64,
-    /// Backlog of the engines that would read a prompt in its own availability zone up to which other zones aren't
-    /// looked at, in milliseconds: as much as a prompt whose turn has come may find.
+    /// Largest backlog of a shared prompt's engines in its own availability zone for other zones
+    /// not to be considered, in milliseconds: the same as the backlog at which the next prompt is
+    /// dispatched.
     pub near_backlog_ms: f64,
-    /// How much more one prompt placed unseen on the same engine costs than its reading predicts, as a factor: several
-    /// may come at once.
+    /// Ratio of the cost of one unseen prompt on the same engine to the cost that its prefill
+    /// predicts, since several may arrive at the same time.
     pub crowd_factor: f64,
-    /// Memory of an engine, as a share, that is kept free of promises: answers that grow beyond their hint.
+    /// Share of an engine's memory that isn't promised to requests, for answers that grow beyond
+    /// their hint.
     pub memory_spare_share: f64,
 }
 
@@ -119,7 +130,11 @@
 }
 
 impl PlacementOptions {
-    /// Sets the figures of `text`, as in `open_units=1.5,hold_factor=0.5`.
+    /// Applies the settings in `text`, such as `open_units=1.5,hold_factor=0.5`.
+    ///
+    /// # Errors
+    ///
+    /// Returns a message if a setting's name is unknown or its value isn't a number.
     ///
     /// ```
     /// use mgs_placing::options::PlacementOptions;
--- a/crates/mgs-placing/src/pass_timeline.rs
+++ b/crates/mgs-placing/src/pass_timeline.rs
@@ -1,28 +1,30 @@
-//! When an engine's passes end, told from what was placed there and from the events that came.
+//! Predicted pass boundaries of an engine, from the work placed on it and the stream events that
+//! arrived.
 //!
-//! The load that this answers: a hundred short prompts a second begin within one, and gather on few engines. What
-//! is placed while a pass runs is read in the next one, all of it, and shows its first token when that ends. Taken
-//! for read as soon as it is placed, 30 of 97 first tokens that came after 300 ms had been predicted for 150 to
-//! 200 ms.
+//! When a hundred short prompts per second start at the same time, they gather on few engines.
+//! Everything placed while a pass runs is prefilled in the next one and emits its first token when
+//! that pass ends. With prefill assumed to start as soon as it is placed, 30 of 97 first tokens
+//! that came after 300 ms had been predicted for 150 to 200 ms.
 
 /// The passes of one engine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PassTimeline {
-    /// Length of a pass that writes and reads nothing, in milliseconds; 0 until it is known.
+    /// Duration of a pass that decodes and does no prefill, in milliseconds; 0 until it is known.
     pass_ms: f64,
-    /// When the pass that runs should end, in milliseconds.
+    /// Predicted end of the current pass, in milliseconds.
     end_ms: f64,
-    /// Reading that waits for the next pass, in milliseconds.
+    /// Prefill queued for the next pass, in milliseconds.
     queued_ms: f64,
 }
 
 impl PassTimeline {
-    /// The length of a pass that writes and reads nothing is known.
+    /// Sets the duration of a pass that decodes and does no prefill.
     pub fn set_pass_ms(&mut self, pass_ms: f64) {
         self.pass_ms = pass_ms;
     }
 
-    /// Reading is placed. `is_writing`: whether there are streams, with which passes are long.
+    /// Records placed prefill. `is_decoding` tells whether the engine has streams, which make its
+    /// passes long.
     ///
     /// ```
     /// use mgs_placing::pass_timeline::PassTimeline;
@@ -30,7 +32,7 @@
     /// let mut passes = PassTimeline::default();
     /// passes.set_pass_ms(50.0);
     /// passes.add_prefill(0.0, 30.0, true);
-    /// // A pass has just begun; the next one reads what was placed, and what comes now.
+    /// // A pass has just begun; the next one prefills what was placed and what arrives now.
     /// assert_eq!(passes.ready_ms(0.0, 10.0, true), 50.0 + 50.0 + 30.0 + 10.0);
     /// ```
     pub fn add_prefill(&mut self, now_ms: f64, prefill_ms: f64, is_decoding: bool) {
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Reading that was placed was given up.
+    /// Removes placed prefill that was given up.
     pub fn remove_prefill(&mut self, now_ms: f64, prefill_ms: f64) {
         let waited_ms = prefill_ms.clamp(0.0, self.queued_ms);
         self.queued_ms -= waited_ms;
@@ -50,10 +52,10 @@
         }
     }
 
-    /// An event of a stream came: a pass has ended, and the next one has begun.
+    /// Records a stream event: a pass has ended and the next one has begun.
     pub fn record_event(&mut self, now_ms: f64) {
         let began_ms = self.end_ms - self.pass_ms;
-        // Events of several streams come together.
+        // Events of several streams arrive together at the end of one pass.
         if now_ms - began_ms < self.pass_ms / 2.0 && self.end_ms > now_ms {
             return;
         }
@@ -61,25 +63,26 @@
         self.start_next_pass();
     }
 
-    /// Time until a prompt that comes now has been read, and its first token shows, in milliseconds.
+    /// Time until a prompt that arrives now is prefilled and emits its first token, in
+    /// milliseconds.
     pub fn ready_ms(&self, now_ms: f64, prefill_ms: f64, is_decoding: bool) -> f64 {
-        let mut ahead = self.clone();
-        ahead.advance(now_ms, is_decoding);
+        let mut simulated = self.clone();
+        simulated.advance(now_ms, is_decoding);
         let pass_ms = match is_decoding {
-            true => ahead.pass_ms,
+            true => simulated.pass_ms,
             false => 0.0,
         };
-        ahead.end_ms - now_ms + pass_ms + ahead.queued_ms + prefill_ms
+        simulated.end_ms - now_ms + pass_ms + simulated.queued_ms + prefill_ms
     }
 
-    /// Length of the next pass, in milliseconds.
+    /// Duration of the next pass, in milliseconds.
     pub fn next_pass_ms(&self, now_ms: f64) -> f64 {
-        let mut ahead = self.clone();
-        ahead.advance(now_ms, true);
-        ahead.pass_ms + ahead.queued_ms
+        let mut simulated = self.clone();
+        simulated.advance(now_ms, true);
+        simulated.pass_ms + simulated.queued_ms
     }
 
-    /// Plays the passes that ended up to now.
+    /// Moves the timeline past the passes that have ended by now.
     fn advance(&mut self, now_ms: f64, is_decoding: bool) {
         if self.end_ms > now_ms {
             return;
@@ -91,7 +94,8 @@
         }
         self.start_next_pass();
         if self.end_ms <= now_ms {
-            // Only streams since then: how far the pass is, nobody knows if none was ever known.
+            // Only decoding since then. The position within the pass is unknown if no event was
+            // ever seen.
             let over_ms = match self.pass_ms > 0.0 {
                 true => (now_ms - self.end_ms) % self.pass_ms,
                 false => 0.0,
@@ -100,7 +104,7 @@
         }
     }
 
-    /// The next pass begins when the one before it ends, and reads all that waits.
+    /// Starts the next pass at the end of the current one, with all queued prefill.
     fn start_next_pass(&mut self) {
         self.end_ms += self.pass_ms + self.queued_ms;
         self.queued_ms = 0.0;
--- a/crates/mgs-placing/src/peer_message.rs
+++ b/crates/mgs-placing/src/peer_message.rs
@@ -1,12 +1,13 @@
-//! What gateways tell each other of the work that they have placed.
+//! Messages in which gateways tell each other what work they have placed.
 //!
-//! A whole message carries all that its sender holds, so a lost one does no harm beyond its age. Between two of them,
-//! short ones say at once what was placed since the message before; what ended waits for the next whole one. Whole
-//! ones each time took four fifths of the bytes between zones of a fleet of a hundred gateways.
-//! Endpoints are named by a hash, since keys are a process's own.
+//! A full message carries all the load that its sender has placed, so a lost message only makes the
+//! receiver's view older. Between full messages, short ones carry what was placed since the message
+//! before; work that has ended is left to the next full message. Sending only full messages took
+//! four fifths of the bytes between zones in a fleet of a hundred gateways. Endpoints are
+//! identified by a hash, since an endpoint key is valid within one process only.
 //!
-//! It also says what the sender knows of the store and how fresh that is, so that not each gateway has to ask
-//! the store often whether anything is new.
+//! A message also states which data of the store the sender has and how fresh it is, so that not
+//! every gateway has to poll the store often.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,76 +17,76 @@
 use crate::load_table::ZoneKey;
 use crate::queue_order::QueueHeads;
 
-/// What is held at one endpoint.
+/// The load at one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadAt {
     /// Hash of the endpoint's incarnation.
     pub endpoint: u64,
-    /// What the sender holds there.
+    /// The load that the sender has placed there.
     pub held: EndpointLoad,
 }
 
-/// What an endpoint reads of a prompt.
+/// How much of a prompt an endpoint prefills.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PrefillPart {
-    /// All of it.
+    /// The whole prompt.
     Whole,
-    /// A part, and it writes the answer.
+    /// A part, at the lead engine, which also decodes the answer.
     FirstPart,
-    /// A part.
+    /// A part, at a helper.
     Part,
-    /// Nothing: what was to be read there was refused, or its client left.
+    /// Nothing: the prefill was refused, or the client disconnected.
     GivenUp,
 }
 
-/// Reading placed at one endpoint since the last message.
+/// Prefill placed at one endpoint since the last message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillAt {
     /// Hash of the endpoint's incarnation.
     pub endpoint: u64,
-    /// Predicted reading, in milliseconds.
+    /// Predicted prefill, in milliseconds.
     pub read_ms: u16,
-    /// What is read.
+    /// How much of the prompt it covers.
     pub reads: PrefillPart,
 }
 
-/// What the sender knows of one topic of the store.
+/// The state of one topic of the store, as the sender has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TopicVersion {
-    /// Names what it knows: a version, or a hash.
+    /// Identifies the content: a version or a hash.
     pub content: u64,
     /// Time since the store confirmed it, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A refusal to help that the sender met.
+/// An endpoint's refusal to act as a helper for the sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusalAt {
     /// Hash of the endpoint's incarnation.
     pub endpoint: u64,
-    /// How long ago, in milliseconds.
+    /// Time since the refusal, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What an endpoint that answered the sender said of how many requests it takes from all gateways together.
+/// An endpoint's answer to the sender on how many requests it accepts from all gateways together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitStatement {
-    /// Thousandths of a request a second; `None` if it names no limit any more.
+    /// Thousandths of a request per second; `None` if it states no limit any more.
     pub per_s_thousandths: Option<u64>,
-    /// How long ago it said so, in milliseconds.
+    /// Time since the answer, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What an endpoint asks, as the sender knows it by itself.
+/// Advice that the sender has received directly from an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdviceAt {
     /// Hash of the endpoint's incarnation.
     pub endpoint: u64,
-    /// What the endpoint said of a limit, if it answered the sender.
+    /// The limit that the endpoint stated, if it answered the sender.
     pub word: Option<LimitStatement>,
-    /// Requests that the sender has sent there by the limit since it started.
+    /// Requests that the sender has sent there under the limit since it started.
     pub sent: u32,
-    /// Whether the endpoint said to the sender that it leaves.
+    /// Whether the endpoint told the sender that it is leaving.
     pub leaves: bool,
 }
 
@@ -94,32 +95,34 @@
 pub struct PeerMessage {
     /// Incarnation of the sender.
     pub from: u64,
-    /// Number of the message; an older one that arrives late is dropped.
+    /// Sequence number; a message that arrives after a newer one is dropped.
     pub sequence: u64,
-    /// Whether the sender is about to leave: what it holds no longer grows.
+    /// Whether the sender is about to leave and places no more work.
     pub leaving: bool,
     /// Availability zone of the sender.
     pub zone: ZoneKey,
-    /// Who goes first among the prompts that wait there.
+    /// The best scores among the prompts that wait at the sender.
     pub waiting: QueueHeads,
-    /// The configuration that it knows, once the store has confirmed one.
+    /// The sender's configuration, once the store has confirmed one.
     pub configuration: Option<TopicVersion>,
-    /// The endpoints that it knows, once the store has confirmed them.
+    /// The sender's list of endpoints, once the store has confirmed one.
     pub endpoints: Option<TopicVersion>,
-    /// How many gateways there are, as far as the sender knows.
+    /// Number of gateways, as far as the sender knows it.
     pub gateways: Option<u32>,
-    /// How often prompts of each length were asked of it and sent by it; in whole messages only.
+    /// Counts of prompts received and dispatched by length; in full messages only.
     pub lengths: Vec<BandCount>,
-    /// Whether `held` is all that it holds, not only what it holds more since the message before.
+    /// Whether this is a full message: `held` is all the sender's load, not only what it added
+    /// since the message before.
     pub is_whole: bool,
-    /// What it holds.
+    /// Load that the sender has placed.
     pub held: Vec<LoadAt>,
-    /// Reading that it placed since its last message.
+    /// Prefill placed since the last message.
     pub reads: Vec<PrefillAt>,
-    /// Endpoints that have refused to help with its prompts: new ones, or all in a whole message.
+    /// Endpoints that have refused to act as helpers for the sender: new ones, or all in a full
+    /// message.
     pub refusals: Vec<RefusalAt>,
-    /// What the clock that gateways share shows at the sender, in milliseconds.
+    /// The sender's reading of the clock that gateways share, in milliseconds.
     pub clock_ms: u64,
-    /// What endpoints ask: what is new of it, or more in a whole message.
+    /// Advice of endpoints: what is new, or more in a full message.
     pub advice: Vec<AdviceAt>,
 }
--- a/crates/mgs-placing/src/placement.rs
+++ b/crates/mgs-placing/src/placement.rs
@@ -1,24 +1,24 @@
-//! Ways to place a prompt: what may take it, and where it goes.
+//! Inputs and results of placing a prompt: candidate engines, placements and errors.
 
 use mgs_fleet::view::EndpointKey;
 
 /// An engine that may take the prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Its key.
+    /// Key of the engine.
     pub key: EndpointKey,
-    /// By what factor its answers come later than predicted; 1 if as predicted.
+    /// Ratio of actual to predicted response times; 1 if as predicted.
     pub slowness: f64,
     /// Whether it is on trial after failures.
     pub on_trial: bool,
-    /// Whether it reads parts of prompts that others answer.
+    /// Whether it accepts parts of prompts as a helper.
     pub can_help: bool,
-    /// Whether it may get a request of its own now; it may still read parts for others.
+    /// Whether it may get a request as the lead now; if not, it may still act as a helper.
     pub can_lead: bool,
 }
 
 impl Candidate {
-    /// One of which nothing special is known.
+    /// A candidate at its predicted speed that may lead and help and isn't on trial.
     ///
     /// ```
     /// use mgs_fleet::view::EndpointKey;
@@ -38,91 +38,92 @@
     }
 }
 
-/// Memory to be reserved at one engine before the prompt is sent.
+/// Memory to be reserved on one engine before the prompt is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemoryReservation {
     /// The engine.
     pub endpoint: EndpointKey,
-    /// Tokens.
+    /// Memory to reserve, in tokens.
     pub tokens: u64,
 }
 
-/// What the engines were doing when a prompt was placed, for the log.
+/// The state of the engines when a prompt was placed, for the log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FleetSnapshot {
-    /// Engines that might take it.
+    /// Candidate engines.
     pub engines: usize,
-    /// Those that write short streams.
+    /// Engines that decode short streams.
     pub with_short_streams: usize,
-    /// Those that write other streams and no short ones.
+    /// Engines that decode other streams and no short ones.
     pub with_other_streams: usize,
-    /// Engines that short streams don't need.
+    /// Engines that short streams don't need, which long prompts may use.
     pub engines_for_long: usize,
-    /// Those without any reading left.
-    pub without_reading: usize,
-    /// Those that read for prompts that are late anyway.
+    /// Engines without any prefill left.
+    pub without_prefill: usize,
+    /// Engines that prefill parts of late prompts.
     pub late_engines: usize,
-    /// Reading left at all of them, in milliseconds.
+    /// Sum of the backlogs of all engines, in milliseconds.
     pub backlog_ms: u64,
-    /// Places of all of them that are taken, in thousandths.
+    /// Share of all engines' slots that is taken, in thousandths.
     pub slots_taken_permille: u32,
 }
 
 /// Where a prompt goes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
-    /// The engine that gets the request and writes its answer.
+    /// The lead engine: it gets the request and decodes its answer.
     pub lead: EndpointKey,
-    /// Engines that read parts, without the first.
+    /// Engines that prefill parts, without the lead.
     pub helpers: Vec<EndpointKey>,
-    /// Memory to reserve at helpers, in the order in which the prompt fills it; empty for a prompt that
-    /// fits the first engine.
+    /// Memory to reserve on helpers, in the order in which the prompt fills it; empty for a prompt
+    /// that fits the lead.
     pub reservations: Vec<MemoryReservation>,
-    /// Predicted reading at each engine, in milliseconds.
+    /// Predicted prefill at each engine, in milliseconds.
     pub prefill_ms: f64,
     /// Longest backlog of its engines, in milliseconds.
     pub backlog_ms: f64,
-    /// How long to wait before it is sent, in milliseconds: its engines finish what was placed before.
+    /// Time to wait before sending, in milliseconds, while the engines finish earlier work.
     pub hold_ms: f64,
     /// Predicted time to the first token, in milliseconds.
     pub first_token_ms: f64,
-    /// Expected loss, in units of worth.
+    /// Expected loss of worth, in units.
     pub loss_units: f64,
-    /// What others lose of it: streams on its engines.
+    /// Part of the loss that falls on other streams on its engines, in units.
     pub harm_units: f64,
-    /// Whether it is late whatever is done, and goes where it does least harm.
+    /// Whether a long prompt misses its first-token target with any placement; it is then placed to
+    /// do the least harm.
     pub is_late: bool,
-    /// What the engines were doing.
+    /// The state of the engines at the decision.
     pub snapshot: FleetSnapshot,
 }
 
-/// Why there is no placement.
+/// Why a prompt has no placement.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PlacementError {
     /// No engine may take it.
     NoEndpoint,
-    /// All engines together can't hold it.
+    /// All engines together don't have enough memory for it.
     TooLarge,
-    /// It would have to wait beyond its deadline; work placed now should be done in `backlog_ms`.
+    /// It would end after its deadline or after its client disconnects.
     TooLate {
         /// Predicted time until there is room, in milliseconds.
         backlog_ms: f64,
     },
-    /// All places or all memory are taken.
+    /// All slots or all memory are taken.
     Full {
         /// Predicted time until there is room, in milliseconds.
         backlog_ms: f64,
-        /// What is taken.
+        /// The missing resource.
         shortage: Shortage,
     },
 }
 
-/// What engines lack for a prompt.
+/// The resource that the engines lack for a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shortage {
-    /// A place to write its answer.
+    /// A slot to decode its answer.
     Slot,
-    /// Memory at the engines that it may use together.
+    /// Memory on the engines that it may use together.
     Memory {
         /// Tokens that it needs.
         needed_tokens: u64,
--- a/crates/mgs-placing/src/plain.rs
+++ b/crates/mgs-placing/src/plain.rs
@@ -1,7 +1,7 @@
-//! Which endpoint of a plain service takes a call.
+//! Choice of an endpoint for a call to a plain service.
 //!
-//! These calls are short and their endpoints run a few at once, so the least loaded one is right; among
-//! equals the near one saves a hop.
+//! These calls are short and each endpoint runs only a few at a time, so the least loaded endpoint
+//! is chosen; among equals, one in the same zone saves a hop.
 
 use mgs_fleet::view::EndpointKey;
 
@@ -10,24 +10,25 @@
 /// An endpoint that may take the call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Its key.
+    /// Key of the endpoint.
     pub key: EndpointKey,
-    /// Calls that it runs at once.
+    /// Calls that it runs at the same time.
     pub slots: u32,
     /// Whether it is in the gateway's own availability zone.
     pub in_own_zone: bool,
-    /// Whether it is on trial after failures: taken only if it is idle or nobody else is left.
+    /// Whether it is on trial after failures: it is chosen only if it is idle or no other endpoint
+    /// is left.
     pub on_trial: bool,
 }
 
-/// Added to the load of an endpoint of another zone, in calls: a hop there and back takes about a tenth
+/// Added to the load of an endpoint in another zone, in calls: the round trip takes about a tenth
 /// of a call.
 const FAR_CALLS: f64 = 0.1;
 
 /// Added to the load of an endpoint on trial, in calls.
 const TRIAL_CALLS: f64 = 2.0;
 
-/// The endpoint with the least load for its slots, or `None` without candidates.
+/// The endpoint with the least load per slot, or `None` without candidates.
 ///
 /// ```
 /// use mgs_fleet::view::EndpointKey;
--- a/crates/mgs-placing/src/queue_order.rs
+++ b/crates/mgs-placing/src/queue_order.rs
@@ -1,24 +1,25 @@
-//! The order of the prompts that wait to be sent.
+//! The order in which waiting prompts are dispatched.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Place in the order of all waiting prompts; the least goes first.
+/// Position in the order of all waiting prompts; the least goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Score(pub u32);
 
-/// Stands for nobody waiting.
+/// Score that stands for an empty queue.
 pub const NONE_WAITING: Score = Score(u32::MAX);
 
-/// Added to the score of those that can't be on time.
-pub(crate) const LATE_BASE: u32 = 1_000_000_000;
+/// Added to the score of prompts that can't meet their first-token target; they queue behind all
+/// others.
+pub(crate) const LATE_SCORE_BASE: u32 = 1_000_000_000;
 
-/// Who goes first among some that wait: those that are late have a line of their own.
+/// The best scores of a set of waiting prompts, with late prompts in a queue of their own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueHeads {
-    /// Least score of those that can be on time.
+    /// Least score of the prompts that can meet their first-token target.
     pub on_time: Score,
-    /// Least score of the others.
+    /// Least score of the prompts that can't.
     pub late: Score,
 }
 
@@ -32,17 +33,17 @@
 }
 
 impl QueueHeads {
-    /// One more waits.
+    /// Includes one more waiting prompt.
     ///
     /// ```
     /// use mgs_placing::queue_order::QueueHeads;
     /// use mgs_placing::queue_order::Score;
     ///
-    /// let firsts = QueueHeads::default().with_score(Score(30)).with_score(Score(20));
-    /// assert_eq!(firsts.on_time, Score(20));
+    /// let heads = QueueHeads::default().with_score(Score(30)).with_score(Score(20));
+    /// assert_eq!(heads.on_time, Score(20));
     /// ```
     pub fn with_score(self, score: Score) -> Self {
-        match score.0 < LATE_BASE {
+        match score.0 < LATE_SCORE_BASE {
             true => Self {
                 on_time: self.on_time.min(score),
                 ..self
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Who goes first among both.
+    /// The best scores of both sets together.
     pub fn merge(self, other: Self) -> Self {
         Self {
             on_time: self.on_time.min(other.on_time),
@@ -62,9 +63,9 @@
         }
     }
 
-    /// Who goes first in the line of `score`.
+    /// The best score in the queue to which `score` belongs.
     pub fn head_for(self, score: Score) -> Score {
-        match score.0 < LATE_BASE {
+        match score.0 < LATE_SCORE_BASE {
             true => self.on_time,
             false => self.late,
         }
--- a/crates/mgs-placing/src/setting_text.rs
+++ b/crates/mgs-placing/src/setting_text.rs
@@ -1,13 +1,13 @@
-//! Figures of decisions given as text, as in `open_units=1.5,hold_factor=0.5`.
+//! Parsing of options given as text, such as `open_units=1.5,hold_factor=0.5`.
 
-/// One figure.
+/// One option's name and value.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Setting {
     pub(crate) name: String,
     pub(crate) value: f64,
 }
 
-/// Puts the figures of `text` into `options` by `set`, which answers no to a name that it doesn't know.
+/// Applies the settings in `text` to `options`. `set` returns false for an unknown name.
 pub(crate) fn apply_settings<O>(
     mut options: O,
     text: &str,
--- a/crates/mgs-placing/src/spare_slots.rs
+++ b/crates/mgs-placing/src/spare_slots.rs
@@ -1,14 +1,15 @@
-//! Short prompts that can't be on time, while streams ask for more places than all engines have.
+//! Slots for short prompts that can't be on time while all engines are nearly full.
 //!
-//! The load that this answers: for seconds, twice as many streams begin as the engines have places for. If all
-//! are sent, the engines queue them, each waits for those before it, and soon all are late. So one that can still be on
-//! time goes ahead, whenever it came. One that can't waits at its gateway for a place that nobody needs, and is refused
-//! as soon as too many wait before it for the places that fall free.
+//! If twice as many streams start for seconds as the engines have slots for, and all are
+//! dispatched, the engines queue them behind each other and soon all are late. So a prompt that can
+//! still be on time goes first, whenever it arrived. One that can't waits at its gateway for a
+//! spare slot, which no other prompt needs, and is refused as soon as too many wait before it for
+//! the slots that become free.
 
-/// How long the places that fell free count, in milliseconds.
+/// Time constant with which the count of found slots decays, in milliseconds.
 const DECAY_MS: f64 = 2_000.0;
 
-/// How many late prompts found a spare place of late.
+/// Recent rate at which late prompts found a spare slot.
 ///
 /// ```
 /// use mgs_placing::spare_slots::SpareSlotRate;
@@ -20,19 +21,19 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SpareSlotRate {
-    /// Starts, as they fade from memory.
+    /// Slots found, with exponential decay, as of `at_ms`.
     recent: f64,
     at_ms: f64,
 }
 
 impl SpareSlotRate {
-    /// A late prompt found a place.
+    /// Records that a late prompt found a slot.
     pub fn record(&mut self, now_ms: f64) {
         self.recent = self.recent(now_ms) + 1.0;
         self.at_ms = now_ms;
     }
 
-    /// Places that late prompts find in a second.
+    /// Slots that late prompts find per second.
     pub fn per_s(&self, now_ms: f64) -> f64 {
         self.recent(now_ms) * 1e3 / DECAY_MS
     }
--- a/crates/mgs-placing/src/split_memory.rs
+++ b/crates/mgs-placing/src/split_memory.rs
@@ -1,8 +1,8 @@
-//! Prompts that exceed the free memory of each engine: memory is reserved at several.
+//! Prompts that exceed the free memory of every engine: memory is reserved on several.
 //!
-//! The prompt fills the reservations in turn and the rest is kept by the first engine. All reservations
-//! are made before the prompt is sent, or none is kept; whoever gets only some gives them back at once,
-//! so nobody waits while holding and no two prompts can block each other.
+//! The prompt fills the reservations in order, and the lead engine keeps the rest. All reservations
+//! are made before the prompt is sent, or none is kept: a gateway that gets only some of them
+//! releases them at once. Nothing waits while holding a reservation, so two prompts can't deadlock.
 
 use crate::engine_state::EngineState;
 use crate::evaluation::longest_backlog_ms;
@@ -13,49 +13,50 @@
 use crate::placement::PlacementError;
 use crate::placement::Shortage;
 
-/// Most of an engine's free memory that is reserved: peers may have placed prompts there in the last
-/// milliseconds.
+/// Largest share of an engine's free memory that is reserved: peers may have placed prompts there
+/// in the last milliseconds.
 const RESERVABLE_SHARE: f64 = 0.85;
 
-/// Least reservation that is worth a call, in tokens.
+/// Smallest reservation that justifies a call, in tokens.
 const RESERVE_MIN_TOKENS: u64 = 8_000;
 
-/// Most of the first engine's free memory that the prompt's rest may take.
+/// Largest share of the lead engine's free memory that the rest of the prompt may take.
 const LEAD_SHARE: f64 = 0.8;
 
-/// Memory decides how many engines it needs; how many more read it, what short streams leave. Bounded by these
-/// as well, thirteen waiting prompts were refused as full within 0.13 s when short ones came, with three quarters
-/// of the memory free.
+/// Places a prompt over several engines. Memory decides how many engines it needs; only further
+/// engines for prefill are limited to those that short streams leave. With both limited, thirteen
+/// waiting prompts were refused as full within 0.13 s when short prompts arrived, while three
+/// quarters of the memory was free.
 pub(crate) fn place_over_engines(evaluation: &Evaluation<'_>) -> Result<Placement, PlacementError> {
-    let needed = evaluation.need.memory_tokens() + evaluation.spare_tokens();
+    let needed_tokens = evaluation.need.memory_tokens() + evaluation.spare_tokens();
     let capacity = evaluation.model.memory_tokens * evaluation.engines.len() as u64;
-    if (needed as f64) > capacity as f64 * RESERVABLE_SHARE {
+    if (needed_tokens as f64) > capacity as f64 * RESERVABLE_SHARE {
         return Err(PlacementError::TooLarge);
     }
     let lead = roomiest_engine(evaluation).ok_or_else(|| evaluation.full_error(Shortage::Slot))?;
-    let at_lead = (lead.free_tokens as f64 * LEAD_SHARE) as u64;
-    let mut missing = needed.saturating_sub(at_lead);
+    let at_lead_tokens = (lead.free_tokens as f64 * LEAD_SHARE) as u64;
+    let mut missing_tokens = needed_tokens.saturating_sub(at_lead_tokens);
     let mut holders = Vec::new();
     let mut reservations = Vec::new();
     for engine in by_room(evaluation, lead) {
-        if missing == 0 || holders.len() + 1 >= evaluation.options.engines_max {
+        if missing_tokens == 0 || holders.len() + 1 >= evaluation.options.engines_max {
             break;
         }
-        let available = (engine.free_tokens as f64 * RESERVABLE_SHARE) as u64;
-        let tokens = available.min(missing.max(RESERVE_MIN_TOKENS));
+        let available_tokens = (engine.free_tokens as f64 * RESERVABLE_SHARE) as u64;
+        let tokens = available_tokens.min(missing_tokens.max(RESERVE_MIN_TOKENS));
         if tokens < RESERVE_MIN_TOKENS {
             continue;
         }
-        missing = missing.saturating_sub(tokens);
+        missing_tokens = missing_tokens.saturating_sub(tokens);
         holders.push(engine);
         reservations.push(MemoryReservation {
             endpoint: engine.key,
             tokens,
         });
     }
-    if missing > 0 {
+    if missing_tokens > 0 {
         return Err(evaluation.full_error(Shortage::Memory {
-            needed_tokens: needed,
+            needed_tokens,
             engines_max: evaluation.options.engines_max,
         }));
     }
@@ -96,16 +97,18 @@
         .max_by(|a, b| room_tokens(a).total_cmp(&room_tokens(b)))
 }
 
-/// Tokens of room that one short stream counts for: its pauses are what reading there would break.
-const SHORT_WRITER_TOKENS: f64 = 20_000.0;
+/// Penalty for each short stream when engines are compared by room, in tokens: prefill would pause
+/// the stream.
+const SHORT_STREAM_TOKENS: f64 = 20_000.0;
 
-/// Tokens of room that a millisecond of backlog counts for: a fifth of a second is worth all of an engine's
-/// memory, since the prompt waits for the last of its engines.
+/// Penalty for each millisecond of backlog when engines are compared by room, in tokens: a fifth of
+/// a second outweighs all of an engine's memory, since the prompt waits for the last of its
+/// engines.
 const BACKLOG_MS_TOKENS: f64 = 1_500.0;
 
-/// Free memory, less for what makes an engine a bad place to read.
+/// Free memory in tokens, less the penalties for short streams and backlog.
 fn room_tokens(engine: &EngineState<'_>) -> f64 {
-    let streams = f64::from(engine.running_short) * SHORT_WRITER_TOKENS;
+    let streams = f64::from(engine.running_short) * SHORT_STREAM_TOKENS;
     let backlog = engine.backlog_ms * BACKLOG_MS_TOKENS;
     engine.free_tokens as f64 - streams - backlog
 }
@@ -124,7 +127,7 @@
         .collect()
 }
 
-/// The holders, and besides as many engines as may read without short streams of their own.
+/// The engines that hold reservations, and further engines without short streams up to the limit.
 fn prefill_engines<'a>(
     evaluation: &'a Evaluation<'a>,
     lead: &EngineState<'a>,
@@ -135,10 +138,8 @@
     others.retain(|engine| engine.running_short == 0);
     others.sort_by(|a, b| a.backlog_ms.total_cmp(&b.backlog_ms));
     for engine in others {
-        let known = prefill_engines
-            .iter()
-            .any(|reader| reader.key == engine.key);
-        if !known && prefill_engines.len() + 1 < evaluation.engines_max {
+        let is_included = prefill_engines.iter().any(|other| other.key == engine.key);
+        if !is_included && prefill_engines.len() + 1 < evaluation.engines_max {
             prefill_engines.push(engine);
         }
     }
--- a/crates/mgs-placing/src/stream_group.rs
+++ b/crates/mgs-placing/src/stream_group.rs
@@ -1,48 +1,49 @@
-//! The streams that an endpoint writes, by what makes them late.
+//! The streams that an endpoint decodes, grouped by the limits that can make them late.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Worth is counted in hundredths of a unit, so that what was added can be taken away without a rest.
+/// Worth is counted in integer hundredths of a unit, so that additions and subtractions cancel
+/// exactly.
 const HUNDREDTHS: f64 = 100.0;
 
-/// Slack is counted in tenths of the time left, so that streams gather in few groups.
+/// Slack is counted in tenths of the time left, which keeps the number of groups small.
 const TENTHS: f64 = 10.0;
 
-/// Tenths from which on slack isn't told apart: an engine that writes reads less than that.
+/// Larger slack isn't distinguished, in tenths: a decoding engine spends less than that on prefill.
 const SLACK_TENTHS_MAX: u8 = 5;
 
-/// Slack in tenths, as far as it is told apart.
+/// Slack in tenths, limited to the largest that is distinguished.
 fn slack_tenths(slack_share: f64) -> u8 {
     ((slack_share * TENTHS) as u8).min(SLACK_TENTHS_MAX)
 }
 
-/// Whether an answer that leaves this share of its time for reading is tight; see [`Streams::is_tight`].
+/// Whether a stream with this slack is tight; see [`StreamGroup::is_tight`].
 pub(crate) fn is_tight(slack_share: f64) -> bool {
     slack_tenths(slack_share) < SLACK_TENTHS_MAX
 }
 
-/// Streams of one limit on pauses, patience and slack.
+/// Streams with the same pause limit, patience, slack and kind of prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamGroup {
-    /// Longest pause between events for which they are on time, in milliseconds.
+    /// Longest pause between events at which they are on time, in milliseconds.
     pub pause_ms: u32,
-    /// Whether they are answers to long prompts, which are kept apart from others.
+    /// Whether they answer long prompts, which are kept apart from others.
     pub is_long: bool,
-    /// How many there are.
+    /// Number of streams.
     pub count: u16,
-    /// What their being on time is worth, in hundredths of a unit.
+    /// Worth of their being on time, in hundredths of a unit.
     pub worth_hundredths: u32,
-    /// Passes of the engine that their answers are expected to take from beginning to end.
+    /// Sum of the passes that their answers are expected to take from beginning to end.
     pub passes: u32,
-    /// Longest silence that their clients bear, in milliseconds.
+    /// Longest silence that their clients tolerate, in milliseconds.
     pub patience_ms: u32,
     /// Tenths of their time that they can do without and still end by their deadlines.
     slack_tenths: u8,
 }
 
 impl StreamGroup {
-    /// One stream, worth so many units.
+    /// A group of one stream with a worth of `units`.
     ///
     /// ```
     /// use mgs_placing::stream_group::StreamGroup;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The same whose client bears a silence of at most `patience_ms`.
+    /// The same group with clients that tolerate a silence of at most `patience_ms`.
     pub fn with_patience(self, patience_ms: f64) -> Self {
         Self {
             patience_ms: patience_ms as u32,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The same that must have ended by a deadline, and can do without `slack_share` of the time until then.
+    /// The same group with a deadline that leaves `slack_share` of the time until then unused.
     ///
     /// ```
     /// use mgs_placing::stream_group::StreamGroup;
@@ -87,23 +88,25 @@
         }
     }
 
-    /// Whether they need so much of their time for writing that what an engine reads beside them counts.
+    /// Whether the streams are tight: they need so much of their time for decoding that prefill on
+    /// the same engine can make them miss their deadlines.
     pub fn is_tight(&self) -> bool {
         self.slack_tenths < SLACK_TENTHS_MAX
     }
 
-    /// Share of their time that they can do without, if it is less than an engine may read.
+    /// Share of their time that they can do without; `None` if it is more than an engine may spend
+    /// on prefill.
     pub fn slack_share(&self) -> Option<f64> {
         let share = (f64::from(self.slack_tenths) + 0.5) / TENTHS;
         self.is_tight().then_some(share)
     }
 
-    /// Passes that each of them takes on average.
+    /// Mean number of passes of a stream.
     pub fn mean_passes(&self) -> f64 {
         f64::from(self.passes) / f64::from(self.count.max(1))
     }
 
-    /// What their being on time is worth, in units.
+    /// Worth of their being on time, in units.
     pub fn units(&self) -> f64 {
         f64::from(self.worth_hundredths) / HUNDREDTHS
     }
@@ -130,7 +133,7 @@
     }
 }
 
-/// Adds streams to groups of which each has a limit of its own.
+/// Adds streams to the groups with the same limits, or as new groups.
 pub(crate) fn add(groups: &mut Vec<StreamGroup>, more: &[StreamGroup]) {
     for streams in more {
         match groups.iter_mut().find(|group| group.key() == streams.key()) {
@@ -140,7 +143,7 @@
     }
 }
 
-/// Takes streams away that were added before.
+/// Subtracts streams that were added before, and drops empty groups.
 pub(crate) fn subtract(groups: &mut Vec<StreamGroup>, less: &[StreamGroup]) {
     for streams in less {
         if let Some(group) = groups.iter_mut().find(|group| group.key() == streams.key()) {
--- a/crates/mgs-placing/src/zone.rs
+++ b/crates/mgs-placing/src/zone.rs
@@ -1,11 +1,13 @@
-//! Engines of the gateway's own availability zone first.
+//! Preference for engines in the gateway's own availability zone.
 //!
-//! The load that this answers: a hundred gateways share 172 engines in five zones. Whoever chooses among all of them
-//! meets a hundred others that choose at the same moment; whoever chooses in its own zone meets twenty, surveys a
-//! fifth of the engines, and the parts of its prompts lie together.
+//! In a fleet of a hundred gateways that share 172 engines in five zones, a gateway that chooses
+//! among all engines competes with a hundred others that choose at the same time. One that chooses
+//! in its own zone competes with twenty, evaluates a fifth of the engines, and keeps the parts of
+//! its prompts close together.
 //!
-//! It is done only where a zone has engines enough for the widest prompt, and only for a prompt that has time to spare
-//! there. Any other is judged over all engines as well, and goes where it loses least.
+//! The preference applies only where a zone has enough engines for the widest prompt, and only to
+//! prompts with time to spare there. Any other prompt is also evaluated over all engines and goes
+//! where it loses least.
 
 use crate::choose::choose_engines;
 use crate::choose::RandomDraw;
@@ -17,35 +19,40 @@
 use crate::placement::Placement;
 use crate::placement::PlacementError;
 
-/// Engines that may take a prompt. Those that lie together stand together in both lists, and the first are taken where
-/// several are as good.
+/// Engines that may take a prompt. In both lists engines close to each other are adjacent, and the
+/// first of several equally good ones are chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct ZoneCandidates<'a> {
-    /// Those in the gateway's own availability zone.
+    /// Engines in the gateway's own availability zone.
     pub own_zone: &'a [Candidate],
-    /// All, the near ones included.
+    /// All engines, including those in `own_zone`.
     pub all: &'a [Candidate],
 }
 
-/// Where a prompt was judged.
+/// The set of engines among which a prompt was placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    /// Among the engines of the gateway's own availability zone.
+    /// The engines of the gateway's own availability zone.
     Zone,
-    /// Among all.
+    /// All engines.
     Fleet,
 }
 
-/// A placement and where it was judged.
+/// A placement and its scope.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScopedPlacement {
-    /// Where it goes.
+    /// Where the prompt goes.
     pub placement: Placement,
-    /// Whom it competes with.
+    /// The engines it was chosen from, and thus the prompts it competes with.
     pub scope: Scope,
 }
 
-/// Places a prompt in the own zone if that is as good, else anywhere. `draw` as for [`choose`].
+/// Places a prompt in its own zone if that is as good, else anywhere. `draw` is the random number
+/// of [`RandomDraw`].
+///
+/// # Errors
+///
+/// Returns a [`PlacementError`] as [`choose_engines`] does if no scope has a placement.
 ///
 /// ```
 /// use mgs_fleet::view::EndpointKey;
@@ -97,7 +104,7 @@
             now_ms,
         )
     };
-    let near = match is_zone_large_enough(zones, options) {
+    let own_zone = match is_zone_large_enough(zones, options) {
         true => among(zones.own_zone).ok(),
         false => None,
     };
@@ -105,31 +112,34 @@
         placement,
         scope: Scope::Zone,
     };
-    if let Some(placement) = near
+    if let Some(placement) = own_zone
         .as_ref()
-        .filter(|near| has_time_to_spare(need, near, options))
+        .filter(|own_zone| has_time_to_spare(need, own_zone, options))
     {
         return Ok(in_zone(placement.clone()));
     }
-    let anywhere = among(zones.all);
-    match (near, anywhere) {
-        (Some(near), Ok(far)) if near.loss_units <= far.loss_units => Ok(in_zone(near)),
-        (Some(near), Err(_)) => Ok(in_zone(near)),
-        (_, anywhere) => anywhere.map(|placement| ScopedPlacement {
+    let fleet_wide = among(zones.all);
+    match (own_zone, fleet_wide) {
+        (Some(own_zone), Ok(best_of_all)) if own_zone.loss_units <= best_of_all.loss_units => {
+            Ok(in_zone(own_zone))
+        }
+        (Some(own_zone), Err(_)) => Ok(in_zone(own_zone)),
+        (_, fleet_wide) => fleet_wide.map(|placement| ScopedPlacement {
             placement,
             scope: Scope::Fleet,
         }),
     }
 }
 
-/// Whether the own zone has engines enough for the widest prompt, and isn't all that there is.
+/// Whether the own zone has enough engines for the widest prompt and isn't the only zone.
 fn is_zone_large_enough(zones: &ZoneCandidates<'_>, options: &PlacementOptions) -> bool {
     let least = options.engines_max as f64 * options.near_engines_factor;
     zones.own_zone.len() as f64 >= least && zones.own_zone.len() < zones.all.len()
 }
 
-/// Whether a prompt's first token comes with time to spare, and, if several engines read it, they are done with what was
-/// sent before: else it would wait for its turn there while other zones have nothing to read.
+/// Whether a prompt's first token has time to spare and, if several engines prefill it, their
+/// backlog is small. Otherwise it would wait for its turn in its zone while engines in other zones
+/// have no prefill.
 fn has_time_to_spare(need: &Need, placement: &Placement, options: &PlacementOptions) -> bool {
     let must_wait = !placement.helpers.is_empty() && placement.backlog_ms > options.near_backlog_ms;
     !must_wait && placement.first_token_ms <= need.ttft_left_ms * options.near_aim_share
--- a/crates/mgs-relay/src/place_log.rs
+++ b/crates/mgs-relay/src/place_log.rs
@@ -137,7 +137,7 @@
         usable_engines = placement.snapshot.engines,
         engines_with_short_streams = placement.snapshot.with_short_streams,
         engines_with_other_streams = placement.snapshot.with_other_streams,
-        engines_without_reading = placement.snapshot.without_reading,
+        engines_without_reading = placement.snapshot.without_prefill,
         engines_with_late_prompts = placement.snapshot.late_engines,
         is_late = placement.is_late,
         backlog_ms = placement.snapshot.backlog_ms,
