--- a/crates/mgs-placing/benches/decision.rs
+++ b/crates/mgs-placing/benches/decision.rs
@@ -47,12 +47,12 @@
     for key in 0..engines {
         let count = STREAMS[key as usize % STREAMS.len()];
         let stream = StreamGroup::single(300.0, false, 1.0, 24);
-        let held = EndpointLoad {
+        let load = EndpointLoad {
             streams: vec![stream; count as usize],
             memory_tokens: count * 6_000,
             ..EndpointLoad::default()
         };
-        load_table.add_own(EndpointKey(key), &held);
+        load_table.add_own(EndpointKey(key), &load);
         load_table.set_pass_ms(EndpointKey(key), 68.0);
     }
     for number in 0..PEER_PLACEMENTS {
--- a/crates/mgs-placing/src/choose.rs
+++ b/crates/mgs-placing/src/choose.rs
@@ -127,7 +127,7 @@
     let best = if evaluation.needs_reservations() {
         split_memory::place_over_engines(evaluation)?
     } else {
-        evaluation.best_width()?
+        evaluation.best_placement()?
     };
     let over_ms = best.first_token_ms - evaluation.need.first_token_limit_ms();
     if over_ms > 0.0 {
--- a/crates/mgs-placing/src/dispatch.rs
+++ b/crates/mgs-placing/src/dispatch.rs
@@ -228,6 +228,7 @@
         self.ahead as f64 / least_per_ms.max(self.spare_per_s / 1e3)
     }
 
+    /// Number of engines of its placement.
     fn engine_count(&self) -> usize {
         self.placement.helpers.len() + 1
     }
--- a/crates/mgs-placing/src/engine_state.rs
+++ b/crates/mgs-placing/src/engine_state.rs
@@ -35,7 +35,7 @@
     /// Predicted time until the prefill placed there is finished, in milliseconds.
     pub(crate) backlog_ms: f64,
     /// The load placed there by all gateways.
-    pub(crate) held: &'a EndpointLoad,
+    pub(crate) load: &'a EndpointLoad,
     /// Streams that are or will be decoded there.
     pub(crate) running: u32,
     /// Streams that answer short prompts.
@@ -68,6 +68,7 @@
 }
 
 impl<'a> EngineState<'a> {
+    /// Predicts the state of a candidate at `now_ms`.
     pub(crate) fn of(
         candidate: &Candidate,
         load_table: &'a LoadTable,
@@ -75,22 +76,22 @@
         options: &PlacementOptions,
         now_ms: f64,
     ) -> Self {
-        let held = load_table.load(candidate.key);
-        let held_tokens = u64::from(held.memory_tokens);
+        let load = load_table.load(candidate.key);
+        let used_tokens = u64::from(load.memory_tokens);
         let mut engine = Self {
             key: candidate.key,
             backlog_ms: load_table.backlog_ms(candidate.key, now_ms, options.unknown_share),
-            held,
-            running: held.running(),
-            running_short: held.running_short(),
-            running_tight: held.running_tight(),
+            load,
+            running: load.running(),
+            running_short: load.running_short(),
+            running_tight: load.running_tight(),
             pass_ms: 0.0,
             ready_ms: 0.0,
             next_pass_ms: 0.0,
             busy_pass_ms: 0.0,
             overhead_share: 0.0,
             decode_cost: model.decode_cost(),
-            free_tokens: model.memory_tokens.saturating_sub(held_tokens),
+            free_tokens: model.memory_tokens.saturating_sub(used_tokens),
             slowness: 1.0,
             on_trial: candidate.on_trial,
             can_help: candidate.can_help,
@@ -99,7 +100,7 @@
         let is_decoding = engine.running > 0;
         let passes = load_table.pass_timeline(candidate.key);
         if is_decoding {
-            engine.pass_ms = model.pass_ms(engine.running, held_tokens);
+            engine.pass_ms = model.pass_ms(engine.running, used_tokens);
             // The prefill in one pass is limited, so a long part leaves a backlog beyond the next
             // pass.
             engine.next_pass_ms = passes.next_pass_ms(now_ms).max(engine.backlog_ms);
@@ -108,7 +109,7 @@
         engine.ready_ms = passes
             .ready_ms(now_ms, 0.0, is_decoding)
             .max(backlog_ready_ms);
-        let with_one_more_ms = model.pass_ms(engine.running + 1, held_tokens);
+        let with_one_more_ms = model.pass_ms(engine.running + 1, used_tokens);
         let recent_prefill_share = load_table.recent_prefill_share(candidate.key, now_ms);
         engine.busy_pass_ms = with_one_more_ms / (1.0 - recent_prefill_share);
         let busy_now_ms =
@@ -122,7 +123,7 @@
 
     /// Whether it may prefill a part for another lead engine.
     pub(crate) fn may_help(&self, model: &EngineModel) -> bool {
-        self.can_help && !self.on_trial && u32::from(self.held.parts) + 1 < model.slots
+        self.can_help && !self.on_trial && u32::from(self.load.parts) + 1 < model.slots
     }
 
     /// Replaces the assumed slowness and scales the predicted times.
@@ -153,12 +154,13 @@
     /// Prefill that is already queued may cause loss as well; only the difference counts.
     pub(crate) fn prefill_harm(&self, prefill_ms: f64) -> f64 {
         let prefill_ms = prefill_ms * self.slowness;
-        let streams = self.held.streams.iter();
+        let streams = self.load.streams.iter();
         streams
             .map(|streams| self.prefill_harm_to(streams, prefill_ms))
             .sum()
     }
 
+    /// Worth that one group of streams loses by a prefill of `prefill_ms`, in units.
     fn prefill_harm_to(&self, streams: &StreamGroup, prefill_ms: f64) -> f64 {
         let pause_ms = self.next_pass_ms;
         let added_lateness = |limit_ms: u32| {
@@ -182,7 +184,7 @@
         let added_share = longer_ms / self.busy_pass_ms.max(1.0);
         let harm =
             |streams: &StreamGroup| streams.units() * self.late_end_share(streams, added_share);
-        self.held.streams.iter().map(harm).sum()
+        self.load.streams.iter().map(harm).sum()
     }
 
     /// Added probability that streams end after their deadlines if `added_share` of the engine's
--- a/crates/mgs-placing/src/evaluation.rs
+++ b/crates/mgs-placing/src/evaluation.rs
@@ -32,7 +32,9 @@
     pub(crate) need: &'a Need,
     pub(crate) model: &'a EngineModel,
     pub(crate) options: &'a PlacementOptions,
+    /// Most engines that may prefill the prompt.
     pub(crate) engines_max: usize,
+    /// State of each candidate engine.
     pub(crate) engines: Vec<EngineState<'a>>,
     /// Worth of answering the prompt on time, in units.
     pub(crate) worth_units: f64,
@@ -72,6 +74,7 @@
         running * 1_000 / slots.max(1)
     }
 
+    /// The state of all engines, for the log.
     pub(crate) fn snapshot(&self) -> FleetSnapshot {
         let count =
             |is: fn(&EngineState<'_>) -> bool| self.engines.iter().filter(|s| is(s)).count();
@@ -82,7 +85,7 @@
             with_other_streams: count(|engine| engine.running_short == 0 && engine.running > 0),
             engines_for_long: self.engines_for_long(),
             without_prefill: count(|engine| engine.backlog_ms <= 0.0),
-            late_engines: count(|engine| engine.held.late_parts > 0),
+            late_engines: count(|engine| engine.load.late_parts > 0),
             backlog_ms: backlog_ms as u64,
             slots_taken_permille: self.slots_taken_permille(),
         }
@@ -94,11 +97,13 @@
         !self.is_small() && !self.engines.iter().any(|engine| self.has_memory(engine))
     }
 
+    /// Whether the prompt takes only a small part of an engine's memory.
     fn is_small(&self) -> bool {
         let small_tokens = self.model.memory_tokens / SMALL_DIVISOR;
         self.need.memory_tokens() < small_tokens
     }
 
+    /// Whether an engine has free memory for the prompt and its answer beyond the spare memory.
     fn has_memory(&self, engine: &EngineState<'_>) -> bool {
         engine.free_tokens >= self.need.memory_tokens() + self.spare_tokens()
     }
@@ -117,7 +122,7 @@
     /// Mean time to decode an answer on an engine, in milliseconds: the mean passes of its streams
     /// at their duration with recent prefill.
     fn mean_answer_ms(&self, engine: &EngineState<'_>) -> f64 {
-        engine.held.mean_passes() * engine.busy_pass_ms
+        engine.load.mean_passes() * engine.busy_pass_ms
     }
 
     /// Time to decode this prompt's answer on an engine with half of its slots taken, in
@@ -145,6 +150,8 @@
         self.wait_ms(engine, self.model.slots - spare)
     }
 
+    /// Time until an engine with `slots` usable slots has one free, and memory for the answer, in
+    /// milliseconds.
     fn wait_ms(&self, engine: &EngineState<'_>, slots: u32) -> f64 {
         let excess_streams = (engine.running + 1).saturating_sub(slots);
         let rounds = f64::from(excess_streams) / f64::from(self.model.slots.max(1));
@@ -161,6 +168,7 @@
         engine.can_lead && engine.running < self.model.slots * 2
     }
 
+    /// The error for a lack of slots or memory on all engines, with the time until one has room.
     pub(crate) fn full_error(&self, shortage: Shortage) -> PlacementError {
         let backlogs = self.engines.iter().map(|engine| engine.backlog_ms);
         let backlog_ms = backlogs.fold(f64::INFINITY, f64::min);
@@ -172,7 +180,8 @@
         }
     }
 
-    pub(crate) fn best_width(&self) -> Result<Placement, PlacementError> {
+    /// The placement with the least loss over all numbers of engines.
+    pub(crate) fn best_placement(&self) -> Result<Placement, PlacementError> {
         let prefill_ms = self.model.prefill_ms(self.need.prompt_tokens);
         let mut best: Option<Placement> = None;
         for width in WIDTHS {
@@ -205,6 +214,8 @@
             && part_ms >= self.options.part_min_passes * self.model.min_pass_ms()
     }
 
+    /// The best placement on `width` engines with a prefill of `part_ms` each; `None` without enough
+    /// engines.
     pub(crate) fn placement_for_width(&self, width: usize, part_ms: f64) -> Option<Placement> {
         let is_shared = width > 1;
         if !is_shared {
@@ -341,6 +352,7 @@
         self.grouping_loss(engine) + engine.added_stream_harm(context_tokens)
     }
 
+    /// Cost of decoding the answer apart from streams of the same kind, in units.
     fn grouping_loss(&self, engine: &EngineState<'_>) -> f64 {
         if !self.is_long {
             let same_slack = f64::from(engine.running_with_same_slack(self.is_tight));
@@ -356,14 +368,14 @@
         self.options.open_other_units / (1.0 + f64::from(engine.running_long()))
     }
 
-    /// Loss of the prompt if the lead engine emits its first token after `first_token_ms`, in
+    /// Loss of the prompt if the engine, as its lead, emits the first token after `first_token_ms`, in
     /// units. Once its target has passed, only ending before the deadline counts, and the prompt
     /// justifies no more harm to others than that.
-    fn lateness_loss(&self, lead: &EngineState<'_>, first_token_ms: f64) -> f64 {
+    fn lateness_loss(&self, engine: &EngineState<'_>, first_token_ms: f64) -> f64 {
         let need = self.need;
         let blur = self.options.blur;
         let left_ms = need.deadline_left_ms.max(1.0);
-        let end_ms = first_token_ms + self.passes * lead.busy_pass_ms;
+        let end_ms = first_token_ms + self.passes * engine.busy_pass_ms;
         let deadline_loss = (1.0 - LATE_LOSS_SHARE)
             * late_probability(first_token_ms, left_ms, blur)
             + self.options.end_share * late_probability(end_ms, left_ms, blur);
@@ -378,6 +390,7 @@
         self.worth_units * (target_loss + deadline_loss + wait_loss)
     }
 
+    /// The placement of the whole prompt on `lead`, with its predicted times and loss.
     fn evaluate_alone(&self, lead: &EngineState<'_>, prefill_ms: f64) -> Placement {
         Placement {
             lead: lead.key,
@@ -394,6 +407,7 @@
         }
     }
 
+    /// The placement with parts on `lead` and `others`, with its predicted times and loss.
     fn evaluate_shared(
         &self,
         lead: &EngineState<'_>,
@@ -459,7 +473,7 @@
 pub(crate) fn longest_backlog_ms(prefill_engines: &[&EngineState<'_>]) -> f64 {
     let for_others = prefill_engines
         .iter()
-        .filter(|engine| engine.held.late_parts == 0);
+        .filter(|engine| engine.load.late_parts == 0);
     let backlogs = for_others.map(|engine| engine.backlog_ms);
     backlogs.fold(0.0, f64::max)
 }
--- a/crates/mgs-placing/src/late_prompt.rs
+++ b/crates/mgs-placing/src/late_prompt.rs
@@ -53,6 +53,7 @@
     }
 }
 
+/// The best placement on `width` engines, or on more if their memory doesn't suffice.
 fn placement_for_width(evaluation: &mut Evaluation<'_>, width: usize) -> Option<Placement> {
     evaluation.engines_max = width;
     if evaluation.needs_reservations() {
@@ -62,6 +63,7 @@
     evaluation.placement_for_width(width, prefill_ms / width as f64)
 }
 
+/// Whether the answer should be complete before the deadline.
 fn ends_in_time(evaluation: &Evaluation<'_>, placement: &Placement) -> bool {
     let options = evaluation.options;
     let first_token_ms = placement.first_token_ms * options.late_margin_factor;
--- a/crates/mgs-placing/src/length_counts.rs
+++ b/crates/mgs-placing/src/length_counts.rs
@@ -19,7 +19,7 @@
 const MIN_COUNT: f64 = 0.05;
 
 /// Logarithm to base 2 of the length at which the bands begin.
-const FIRST_LOG2: f64 = 12.0;
+const FIRST_BAND_LOG2: f64 = 12.0;
 
 /// Number of bands for each doubling of the length.
 const BANDS_PER_DOUBLING: f64 = 2.0;
@@ -33,7 +33,7 @@
 
 /// Prompts with the mean ratio of their kind that are added to each band, so that a single prompt
 /// has little effect.
-const PRIOR: f64 = 1.0;
+const PRIOR_PROMPTS: f64 = 1.0;
 
 /// Prompts of one kind and of similar length. The kind is the first-token target that the prompts
 /// ask for.
@@ -54,7 +54,7 @@
     /// assert_ne!(LengthBand::of(200_000, 4_000.0), LengthBand::of(200_000, 1_500.0));
     /// ```
     pub fn of(prompt_tokens: u64, aim_ms: f64) -> Self {
-        let doublings = (prompt_tokens.max(1) as f64).log2() - FIRST_LOG2;
+        let doublings = (prompt_tokens.max(1) as f64).log2() - FIRST_BAND_LOG2;
         let length = (doublings * BANDS_PER_DOUBLING).clamp(0.0, MAX_LENGTH_BAND);
         Self {
             aim_ms: aim_ms as u32,
@@ -108,7 +108,7 @@
         }
         let all = kind.sent / kind.asked;
         let own = self.bands.get(&band).copied().unwrap_or_default();
-        let share = (own.sent + PRIOR * all) / (own.asked + PRIOR);
+        let share = (own.sent + PRIOR_PROMPTS * all) / (own.asked + PRIOR_PROMPTS);
         share / all
     }
 }
@@ -176,6 +176,7 @@
         band_counts.collect()
     }
 
+    /// Lets the counts decay to `now_ms` and drops small ones.
     fn decay(&mut self, now_ms: f64) {
         let age_ms = (now_ms - self.at_ms).max(0.0);
         let factor = (-age_ms / DECAY_MS).exp();
--- a/crates/mgs-placing/src/load_table.rs
+++ b/crates/mgs-placing/src/load_table.rs
@@ -120,9 +120,11 @@
 /// The work placed on one endpoint.
 #[derive(Debug, Clone, Default)]
 struct EndpointWork {
+    /// Load placed by this gateway.
     own: EndpointLoad,
     /// Load placed by this gateway and its peers.
     total: EndpointLoad,
+    /// When all prefill placed so far should be finished.
     prefill_done_ms: f64,
     passes: PassTimeline,
     /// Recently placed prefill with exponential decay, in milliseconds, as of `recent_at_ms`.
@@ -138,13 +140,14 @@
     }
 }
 
+/// The last report of a peer.
 #[derive(Debug, Default)]
 struct Peer {
     reported_ms: f64,
     zone: ZoneKey,
     waiting: QueueHeads,
     lengths: Vec<BandCount>,
-    held: Vec<(EndpointKey, EndpointLoad)>,
+    loads: Vec<(EndpointKey, EndpointLoad)>,
 }
 
 /// Identifies an availability zone among gateways; 0 if unknown.
@@ -161,7 +164,7 @@
     /// Its counts of prompts by length: how many it received and how many it dispatched.
     pub lengths: Vec<BandCount>,
     /// All the load that it has placed.
-    pub held: Vec<(EndpointKey, EndpointLoad)>,
+    pub loads: Vec<(EndpointKey, EndpointLoad)>,
 }
 
 /// The work of all endpoints, indexed by [`EndpointKey`].
@@ -189,11 +192,13 @@
         self.at_ms = now_ms;
     }
 
+    /// Factor by which the sums have decayed since the last prompt.
     fn decay_factor(&self, now_ms: f64) -> f64 {
         let age_ms = (now_ms - self.at_ms).max(0.0);
         (-age_ms / DECAY_MS).exp()
     }
 
+    /// The rate and the mean prefill of recent prompts.
     fn rate(&self, now_ms: f64) -> PlacementRate {
         PlacementRate {
             per_ms: self.prompts * self.decay_factor(now_ms) / DECAY_MS,
@@ -239,17 +244,17 @@
     }
 
     /// Adds load that this gateway places on an endpoint.
-    pub fn add_own(&mut self, endpoint: EndpointKey, held: &EndpointLoad) {
+    pub fn add_own(&mut self, endpoint: EndpointKey, load: &EndpointLoad) {
         let work = self.work_mut(endpoint);
-        work.own.add(held);
-        work.total.add(held);
+        work.own.add(load);
+        work.total.add(load);
     }
 
     /// Removes load that this gateway has placed on an endpoint.
-    pub fn remove_own(&mut self, endpoint: EndpointKey, held: &EndpointLoad) {
+    pub fn remove_own(&mut self, endpoint: EndpointKey, load: &EndpointLoad) {
         let work = self.work_mut(endpoint);
-        work.own.subtract(held);
-        work.total.subtract(held);
+        work.own.subtract(load);
+        work.total.subtract(load);
     }
 
     /// Records prefill placed on an endpoint by this gateway or a peer.
@@ -311,10 +316,10 @@
     /// Replaces a peer's report by a full one.
     pub fn replace_peer(&mut self, peer: PeerKey, now_ms: f64, report: PeerReport) {
         let before = self.peers.remove(&peer).unwrap_or_default();
-        for (endpoint, old) in &before.held {
+        for (endpoint, old) in &before.loads {
             self.work_mut(*endpoint).total.subtract(old);
         }
-        for (endpoint, new) in &report.held {
+        for (endpoint, new) in &report.loads {
             self.work_mut(*endpoint).total.add(new);
         }
         let reported_ms = now_ms;
@@ -323,7 +328,7 @@
             zone: report.zone,
             waiting: report.waiting,
             lengths: report.lengths,
-            held: report.held,
+            loads: report.loads,
         };
         self.peers.insert(peer, known);
     }
@@ -341,17 +346,17 @@
         };
         known.reported_ms = now_ms;
         known.waiting = waiting;
-        for (endpoint, held) in &more {
-            self.work_mut(*endpoint).total.add(held);
+        for (endpoint, load) in &more {
+            self.work_mut(*endpoint).total.add(load);
         }
         // The next full report subtracts these entries, endpoint by endpoint.
         self.peers
             .entry(peer)
-            .and_modify(|known| known.held.extend(more));
+            .and_modify(|known| known.loads.extend(more));
     }
 
     /// Discards the reports of silent peers and returns the keys of those peers.
-    pub fn expire(&mut self, now_ms: f64) -> Vec<PeerKey> {
+    pub fn expire_peers(&mut self, now_ms: f64) -> Vec<PeerKey> {
         let silent = |peer: &Peer| now_ms - peer.reported_ms > PEER_SILENCE_MS;
         let gone: Vec<PeerKey> = self
             .peers
--- a/crates/mgs-placing/src/plain.rs
+++ b/crates/mgs-placing/src/plain.rs
@@ -16,14 +16,14 @@
     pub slots: u32,
     /// Whether it is in the gateway's own availability zone.
     pub in_own_zone: bool,
-    /// Whether it is on trial after failures: it is chosen only if it is idle or no other endpoint
-    /// is left.
+    /// Whether it is on trial after failures. It then counts as more loaded, so that it is chosen
+    /// mainly while it is idle or if no other endpoint is left.
     pub on_trial: bool,
 }
 
 /// Added to the load of an endpoint in another zone, in calls: the round trip takes about a tenth
 /// of a call.
-const FAR_CALLS: f64 = 0.1;
+const OTHER_ZONE_CALLS: f64 = 0.1;
 
 /// Added to the load of an endpoint on trial, in calls.
 const TRIAL_CALLS: f64 = 2.0;
@@ -44,7 +44,7 @@
     let load = |candidate: &Candidate| {
         let mut calls = f64::from(load_table.load(candidate.key).calls);
         if !candidate.in_own_zone {
-            calls += FAR_CALLS;
+            calls += OTHER_ZONE_CALLS;
         }
         if candidate.on_trial {
             calls += TRIAL_CALLS;
--- a/crates/mgs-placing/src/setting_text.rs
+++ b/crates/mgs-placing/src/setting_text.rs
@@ -1,6 +1,6 @@
 //! Parsing of options given as text, such as `open_units=1.5,hold_factor=0.5`.
 
-/// One option's name and value.
+/// A setting: the name of an option and its value.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Setting {
     pub(crate) name: String,
--- a/crates/mgs-placing/src/split_memory.rs
+++ b/crates/mgs-placing/src/split_memory.rs
@@ -21,7 +21,7 @@
 const RESERVE_MIN_TOKENS: u64 = 8_000;
 
 /// Largest share of the lead engine's free memory that the rest of the prompt may take.
-const LEAD_SHARE: f64 = 0.8;
+const LEAD_REST_SHARE: f64 = 0.8;
 
 /// Places a prompt over several engines. Memory decides how many engines it needs; only further
 /// engines for prefill are limited to those that short streams leave. With both limited, thirteen
@@ -34,7 +34,7 @@
         return Err(PlacementError::TooLarge);
     }
     let lead = roomiest_engine(evaluation).ok_or_else(|| evaluation.full_error(Shortage::Slot))?;
-    let at_lead_tokens = (lead.free_tokens as f64 * LEAD_SHARE) as u64;
+    let at_lead_tokens = (lead.free_tokens as f64 * LEAD_REST_SHARE) as u64;
     let mut missing_tokens = needed_tokens.saturating_sub(at_lead_tokens);
     let mut holders = Vec::new();
     let mut reservations = Vec::new();
@@ -89,6 +89,7 @@
     })
 }
 
+/// The engine with the most room that may lead and isn't on trial.
 fn roomiest_engine<'a>(evaluation: &'a Evaluation<'a>) -> Option<&'a EngineState<'a>> {
     evaluation
         .engines
@@ -99,26 +100,28 @@
 
 /// Penalty for each short stream when engines are compared by room, in tokens: prefill would pause
 /// the stream.
-const SHORT_STREAM_TOKENS: f64 = 20_000.0;
+const TOKENS_PER_SHORT_STREAM: f64 = 20_000.0;
 
 /// Penalty for each millisecond of backlog when engines are compared by room, in tokens: a fifth of
 /// a second outweighs all of an engine's memory, since the prompt waits for the last of its
 /// engines.
-const BACKLOG_MS_TOKENS: f64 = 1_500.0;
+const TOKENS_PER_BACKLOG_MS: f64 = 1_500.0;
 
 /// Free memory in tokens, less the penalties for short streams and backlog.
 fn room_tokens(engine: &EngineState<'_>) -> f64 {
-    let streams = f64::from(engine.running_short) * SHORT_STREAM_TOKENS;
-    let backlog = engine.backlog_ms * BACKLOG_MS_TOKENS;
+    let streams = f64::from(engine.running_short) * TOKENS_PER_SHORT_STREAM;
+    let backlog = engine.backlog_ms * TOKENS_PER_BACKLOG_MS;
     engine.free_tokens as f64 - streams - backlog
 }
 
+/// Engines that may help, those with the most room first.
 fn by_room<'a>(evaluation: &'a Evaluation<'a>, lead: &EngineState<'a>) -> Vec<&'a EngineState<'a>> {
     let mut others = helpers(evaluation, lead);
     others.sort_by(|a, b| room_tokens(b).total_cmp(&room_tokens(a)));
     others
 }
 
+/// Engines that may help `lead`.
 fn helpers<'a>(evaluation: &'a Evaluation<'a>, lead: &EngineState<'a>) -> Vec<&'a EngineState<'a>> {
     evaluation
         .engines
--- a/crates/mgs-placing/src/stream_group.rs
+++ b/crates/mgs-placing/src/stream_group.rs
@@ -111,6 +111,7 @@
         f64::from(self.worth_hundredths) / HUNDREDTHS
     }
 
+    /// The values that all streams of a group share.
     fn key(&self) -> (u32, bool, u32, u8) {
         (
             self.pause_ms,
--- a/crates/mgs-placing/tests/emulator/fleet.rs
+++ b/crates/mgs-placing/tests/emulator/fleet.rs
@@ -168,7 +168,7 @@
             zone: ZoneKey(gateway.zone as u32 + 1),
             waiting: gateway.first_waiting(),
             lengths: gateway.lengths.band_counts(now_ms),
-            held: match is_whole {
+            loads: match is_whole {
                 true => gateway.board.own_loads(),
                 false => more,
             },
@@ -205,7 +205,7 @@
                 true => gateway.board.replace_peer(peer, now_ms, said),
                 false => gateway
                     .board
-                    .extend_peer(peer, now_ms, said.waiting, said.held),
+                    .extend_peer(peer, now_ms, said.waiting, said.loads),
             }
         }
     }
--- a/crates/mgs-placing/tests/messages.rs
+++ b/crates/mgs-placing/tests/messages.rs
@@ -93,7 +93,7 @@
                 }
                 Step::TellsAll { is_lost: true } => {}
                 Step::TellsAll { is_lost: false } => {
-                    let said = PeerReport { held: own(&holds), ..PeerReport::default() };
+                    let said = PeerReport { loads: own(&holds), ..PeerReport::default() };
                     board.replace_peer(peer, now_ms, said);
                 }
                 Step::Restarts => {
@@ -104,9 +104,9 @@
         }
         // The earlier lives fall silent, and the last one tells all.
         now_ms += 2_000.0;
-        let said = PeerReport { held: own(&holds), ..PeerReport::default() };
+        let said = PeerReport { loads: own(&holds), ..PeerReport::default() };
         board.replace_peer(peer, now_ms, said);
-        board.expire(now_ms);
+        board.expire_peers(now_ms);
         let mut right = LoadTable::new();
         for (engine, passes) in &holds {
             right.add_own(EndpointKey(*engine), &held(*passes));
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -210,7 +210,7 @@
         zone: beacon.zone,
         waiting: beacon.waiting,
         lengths: beacon.lengths.clone(),
-        held,
+        loads: held,
     };
     board.replace_peer(peer, now_ms, said);
 }
@@ -259,7 +259,7 @@
         let now_ms = core.now_ms();
         let (gone, peers) = {
             let mut board = core.board.borrow_mut();
-            (board.expire(now_ms), board.peer_count())
+            (board.expire_peers(now_ms), board.peer_count())
         };
         look_at_beliefs(&core, &known.borrow());
         let staying = known.borrow().staying(&core.board.borrow());
