--- a/crates/mgs-placing/src/plain.rs
+++ b/crates/mgs-placing/src/plain.rs
@@ -1,51 +1,52 @@
-//! Which endpoint of a plain service takes a call.
+//! Choice of an endpoint for a call to a plain service.
 //!
-//! These calls are short and their endpoints run a few at once, so the least loaded one is right; among
-//! equals the near one saves a hop.
+//! These calls are short and each endpoint runs only a few at a time, so the least loaded endpoint
+//! is chosen; among equals, one in the same zone saves a hop.
 
 use mgs_fleet::view::EndpointKey;
 
-use crate::board::Board;
+use crate::load_table::LoadTable;
 
 /// An endpoint that may take the call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Its key.
+    /// Key of the endpoint.
     pub key: EndpointKey,
-    /// Calls that it runs at once.
+    /// Calls that it runs at the same time.
     pub slots: u32,
     /// Whether it is in the gateway's own availability zone.
-    pub near: bool,
-    /// Whether it is on trial after failures: taken only if it is idle or nobody else is left.
-    pub trial: bool,
+    pub in_own_zone: bool,
+    /// Whether it is on trial after failures. It then counts as more loaded, so that it is chosen
+    /// mainly while it is idle or if no other endpoint is left.
+    pub on_trial: bool,
 }
 
-/// Added to the load of an endpoint of another zone, in calls: a hop there and back takes about a tenth
+/// Added to the load of an endpoint in another zone, in calls: the round trip takes about a tenth
 /// of a call.
-const FAR_CALLS: f64 = 0.1;
+const OTHER_ZONE_CALLS: f64 = 0.1;
 
 /// Added to the load of an endpoint on trial, in calls.
 const TRIAL_CALLS: f64 = 2.0;
 
-/// The endpoint with the least load for its slots, or `None` without candidates.
+/// The endpoint with the least load per slot, or `None` without candidates.
 ///
 /// ```
 /// use mgs_fleet::view::EndpointKey;
-/// use mgs_placing::board::Board;
-/// use mgs_placing::plain::choose;
+/// use mgs_placing::load_table::LoadTable;
+/// use mgs_placing::plain::choose_endpoint;
 /// use mgs_placing::plain::Candidate;
 ///
-/// let far = Candidate { key: EndpointKey(0), slots: 6, near: false, trial: false };
-/// let near = Candidate { key: EndpointKey(1), near: true, ..far };
-/// assert_eq!(choose(&[far, near], &Board::new()), Some(EndpointKey(1)));
+/// let far = Candidate { key: EndpointKey(0), slots: 6, in_own_zone: false, on_trial: false };
+/// let near = Candidate { key: EndpointKey(1), in_own_zone: true, ..far };
+/// assert_eq!(choose_endpoint(&[far, near], &LoadTable::new()), Some(EndpointKey(1)));
 /// ```
-pub fn choose(candidates: &[Candidate], board: &Board) -> Option<EndpointKey> {
+pub fn choose_endpoint(candidates: &[Candidate], load_table: &LoadTable) -> Option<EndpointKey> {
     let load = |candidate: &Candidate| {
-        let mut calls = f64::from(board.held(candidate.key).calls);
-        if !candidate.near {
-            calls += FAR_CALLS;
+        let mut calls = f64::from(load_table.load(candidate.key).calls);
+        if !candidate.in_own_zone {
+            calls += OTHER_ZONE_CALLS;
         }
-        if candidate.trial {
+        if candidate.on_trial {
             calls += TRIAL_CALLS;
         }
         calls / f64::from(candidate.slots.max(1))
--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -15,9 +15,9 @@
 use mgs_backpressure::told::Told;
 use mgs_backpressure::told::Word;
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::share::AdviceAt;
-use mgs_placing::share::Beacon;
-use mgs_placing::share::LimitWord;
+use mgs_placing::peer_message::AdviceAt;
+use mgs_placing::peer_message::LimitStatement;
+use mgs_placing::peer_message::PeerMessage;
 
 use crate::core::Core;
 use crate::dialect::ClientRequest;
@@ -150,7 +150,7 @@
     pub(crate) fn advice_to_tell(&self, is_whole: bool) -> Vec<AdviceAt> {
         let now_ms = self.now_ms();
         let told = self.backpressure.borrow_mut().take_told(is_whole, now_ms);
-        let word_at = |word: Word| LimitWord {
+        let word_at = |word: Word| LimitStatement {
             per_s_thousandths: word.per_s.map(|per_s| (per_s * 1e3) as u64),
             age_ms: (now_ms - word.at_ms).max(0.0) as u32,
         };
@@ -164,7 +164,7 @@
     }
 
     /// Takes the advice about endpoints in a peer's message.
-    pub(crate) fn hear_peer_advice(&self, beacon: &Beacon) {
+    pub(crate) fn hear_peer_advice(&self, beacon: &PeerMessage) {
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
         table.hear_clock(beacon.clock_ms as f64, now_ms);
@@ -196,7 +196,7 @@
 }
 
 /// Converts a peer's report of a limit to this process's clock.
-fn word_from_peer(word: &LimitWord, now_ms: f64) -> Word {
+fn word_from_peer(word: &LimitStatement, now_ms: f64) -> Word {
     let per_s = word.per_s_thousandths.map(|per_s| per_s as f64 / 1e3);
     // A limit that was learned while its withdrawal was in transit takes precedence over the
     // withdrawal.
--- a/crates/mgs-relay/src/broadcast.rs
+++ b/crates/mgs-relay/src/broadcast.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Held;
-use mgs_placing::share::Beacon;
-use mgs_placing::share::HeldAt;
-use mgs_placing::share::Knows;
-use mgs_placing::share::ReadAt;
-use mgs_placing::share::RefusedAt;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::peer_message::LoadAt;
+use mgs_placing::peer_message::PeerMessage;
+use mgs_placing::peer_message::PrefillAt;
+use mgs_placing::peer_message::RefusalAt;
+use mgs_placing::peer_message::TopicVersion;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 use tokio::time::timeout_at;
@@ -84,15 +84,15 @@
         let core = &self.core;
         core.unreported_held.take();
         core.whole_wanted.set(false);
-        let mut beacon = Beacon {
+        let mut beacon = PeerMessage {
             is_whole: true,
             configuration: store_knowledge(core, core.published.configuration_freshness()),
             endpoints: store_knowledge(core, core.published.endpoint_freshness()),
-            lengths: core.lengths.borrow().told(core.now_ms()),
+            lengths: core.lengths.borrow().band_counts(core.now_ms()),
             gateways: gateways_sharing(core),
             ..beacon
         };
-        let held = core.board.borrow().own();
+        let held = core.board.borrow().own_loads();
         add_held(&mut beacon, &core.published.fleet(), held);
         // Silent peers are sent a message about once a second.
         let to_all = self.whole_messages_sent.is_multiple_of(WHOLE_TO_ALL_EVERY);
@@ -111,10 +111,10 @@
     }
 
     /// Starts a message with the fields that whole and short ones share.
-    fn next_beacon(&mut self, is_whole: bool) -> Beacon {
+    fn next_beacon(&mut self, is_whole: bool) -> PeerMessage {
         let core = &self.core;
         self.sequence += 1;
-        let mut beacon = Beacon {
+        let mut beacon = PeerMessage {
             from: core.incarnation,
             sequence: self.sequence,
             leaving: core.drain.phase() != Phase::Serving,
@@ -122,13 +122,13 @@
             waiting: core.first_waiting(),
             clock_ms: core.shared_clock_ms(),
             advice: core.advice_to_tell(is_whole),
-            ..Beacon::default()
+            ..PeerMessage::default()
         };
         let fleet = core.published.fleet();
         beacon.refusals = refusals(core, &fleet, is_whole);
         for read in core.unreported_reads.take() {
             if let Some(endpoint) = endpoint_hash(&fleet, read.endpoint) {
-                beacon.reads.push(ReadAt {
+                beacon.reads.push(PrefillAt {
                     endpoint,
                     read_ms: read.read_ms.round() as u16,
                     reads: read.reads,
@@ -149,14 +149,14 @@
 }
 
 /// Refusals to help that are to be reported: new ones, or all of them.
-fn refusals(core: &Core, fleet: &Fleet, is_all: bool) -> Vec<RefusedAt> {
+fn refusals(core: &Core, fleet: &Fleet, is_all: bool) -> Vec<RefusalAt> {
     let (now_ms, confirmed_ms) = (core.now_whole_ms(), core.fleet_confirmed_ms());
     let refused = core
         .helpers
         .borrow_mut()
         .take_reports(is_all, now_ms, confirmed_ms);
     let refused_at = |(key, age_ms): (EndpointKey, u64)| {
-        Some(RefusedAt {
+        Some(RefusalAt {
             endpoint: endpoint_hash(fleet, key)?,
             age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
         })
@@ -182,10 +182,10 @@
     }
 }
 
-fn add_held(beacon: &mut Beacon, fleet: &Fleet, held: Vec<(EndpointKey, Held)>) {
+fn add_held(beacon: &mut PeerMessage, fleet: &Fleet, held: Vec<(EndpointKey, EndpointLoad)>) {
     for (key, held) in held {
         if let Some(endpoint) = endpoint_hash(fleet, key) {
-            beacon.held.push(HeldAt { endpoint, held });
+            beacon.held.push(LoadAt { endpoint, held });
         }
     }
 }
@@ -197,7 +197,7 @@
 }
 
 /// Encodes a message so that it fits a datagram.
-fn encode_to_fit(mut beacon: Beacon) -> Vec<u8> {
+fn encode_to_fit(mut beacon: PeerMessage) -> Vec<u8> {
     loop {
         let message = Message::Beacon(Box::new(beacon));
         let encoded = encode(&message);
@@ -219,9 +219,9 @@
     u32::try_from(core.gateways_sharing()?).ok()
 }
 
-fn store_knowledge(core: &Core, freshness: &Freshness) -> Option<Knows> {
+fn store_knowledge(core: &Core, freshness: &Freshness) -> Option<TopicVersion> {
     let age_ms = freshness.age_ms(core.now_whole_ms())?;
-    Some(Knows {
+    Some(TopicVersion {
         content: freshness.content_id(),
         age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
     })
--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -9,15 +9,15 @@
 
 use mgs_backpressure::table::Table;
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Board;
-use mgs_placing::board::Held;
-use mgs_placing::board::ZoneKey;
-use mgs_placing::lengths::Band;
-use mgs_placing::lengths::Lengths;
-use mgs_placing::line::Firsts;
-use mgs_placing::line::Score;
-use mgs_placing::share::Reads;
-use mgs_placing::spare::Spare;
+use mgs_placing::length_counts::LengthBand;
+use mgs_placing::length_counts::LengthCounter;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::load_table::LoadTable;
+use mgs_placing::load_table::ZoneKey;
+use mgs_placing::peer_message::PrefillPart;
+use mgs_placing::queue_order::QueueHeads;
+use mgs_placing::queue_order::Score;
+use mgs_placing::spare_slots::SpareSlotRate;
 use mgs_routing::outlier::Outliers;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -47,7 +47,7 @@
 pub(crate) struct UnreportedRead {
     pub(crate) endpoint: EndpointKey,
     pub(crate) read_ms: f64,
-    pub(crate) reads: Reads,
+    pub(crate) reads: PrefillPart,
 }
 
 /// The shared state of one relay.
@@ -58,11 +58,11 @@
     /// Configuration and fleet, as the thread that follows the store publishes them.
     pub(crate) published: Arc<Published>,
     /// Work placed on each endpoint by this gateway and its peers.
-    pub(crate) board: RefCell<Board>,
+    pub(crate) board: RefCell<LoadTable>,
     /// Prompt reading placed since the last message to peers.
     pub(crate) unreported_reads: RefCell<Vec<UnreportedRead>>,
     /// What this gateway has come to hold on endpoints since its last message to peers.
-    pub(crate) unreported_held: RefCell<Vec<(EndpointKey, Held)>>,
+    pub(crate) unreported_held: RefCell<Vec<(EndpointKey, EndpointLoad)>>,
     /// Whether the next message to peers must be a whole one and must be sent at once.
     pub(crate) whole_wanted: Cell<bool>,
     /// Wakes the broadcast task: work was placed, or the queue of waiting prompts has changed.
@@ -72,9 +72,9 @@
     /// Short prompts queued at this gateway for a spare place on an engine, by serial number.
     pub(crate) waiting_for_spare: RefCell<BTreeSet<u64>>,
     /// How many late short prompts recently found a spare place.
-    pub(crate) spare: RefCell<Spare>,
+    pub(crate) spare: RefCell<SpareSlotRate>,
     /// How many long prompts of each length arrived at this gateway and how many of them were sent.
-    pub(crate) lengths: RefCell<Lengths>,
+    pub(crate) lengths: RefCell<LengthCounter>,
     /// Failing endpoints that are skipped for a while.
     pub(crate) outliers: Outliers,
     /// Endpoints that refuse to read parts of prompts that other endpoints answer.
@@ -122,7 +122,7 @@
     /// Records that an endpoint refused to read a part of a prompt, and returns the likely reason.
     /// `is_reserved` says whether memory had been reserved at the endpoint for that prompt.
     pub(crate) fn help_refused(&self, endpoint: &Endpoint, is_reserved: bool) -> RefusalReason {
-        let parts = u32::from(self.board.borrow().held(endpoint.key).parts);
+        let parts = u32::from(self.board.borrow().load(endpoint.key).parts);
         let reason = match (parts >= endpoint.facts.slots, is_reserved) {
             (true, _) => RefusalReason::Busy,
             (false, true) => RefusalReason::Reservation,
@@ -159,9 +159,11 @@
 
     /// Records prompt reading that this gateway has placed on an endpoint, and queues it for the
     /// next message to peers.
-    pub(crate) fn place_read(&self, endpoint: EndpointKey, read_ms: f64, reads: Reads) {
+    pub(crate) fn place_read(&self, endpoint: EndpointKey, read_ms: f64, reads: PrefillPart) {
         let now_ms = self.now_ms();
-        self.board.borrow_mut().read(endpoint, now_ms, read_ms);
+        self.board
+            .borrow_mut()
+            .add_prefill(endpoint, now_ms, read_ms);
         self.unreported_reads.borrow_mut().push(UnreportedRead {
             endpoint,
             read_ms,
@@ -172,7 +174,7 @@
 
     /// Whether there are few enough peers to broadcast every change to all of them.
     pub(crate) fn has_few_peers(&self) -> bool {
-        self.board.borrow().peers() < FEW_PEERS
+        self.board.borrow().peer_count() < FEW_PEERS
     }
 
     /// Requests a whole message to peers, since endpoints that peers may be waiting for are free
@@ -183,18 +185,20 @@
     }
 
     /// The scores of the prompts that are first in the queue of this gateway.
-    pub(crate) fn first_waiting(&self) -> Firsts {
+    pub(crate) fn first_waiting(&self) -> QueueHeads {
         let waiting = self.waiting.borrow();
         let scores = waiting.values();
-        scores.fold(Firsts::default(), |firsts, score| firsts.with(*score))
+        scores.fold(QueueHeads::default(), |firsts, score| {
+            firsts.with_score(*score)
+        })
     }
 
     /// The rate at which prompts of a length band are sent relative to all other bands, over all
     /// gateways.
-    pub(crate) fn sent_ratio(&self, band: Band) -> f64 {
+    pub(crate) fn sent_ratio(&self, band: LengthBand) -> f64 {
         let mut counts = self.lengths.borrow().counts(self.now_ms());
-        self.board.borrow().add_lengths(&mut counts);
-        counts.ratio(band)
+        self.board.borrow().add_length_counts(&mut counts);
+        counts.sent_ratio(band)
     }
 
     /// Number of gateways that share fleet-wide budgets, or `None` while it isn't known.
--- a/crates/mgs-relay/src/load_guard.rs
+++ b/crates/mgs-relay/src/load_guard.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Held;
-use mgs_placing::share::Reads;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::peer_message::PrefillPart;
 
 use crate::core::Core;
 use crate::core::UnreportedRead;
@@ -12,7 +12,7 @@
 /// Load that one dispatch holds on the board.
 pub(crate) struct LoadGuard {
     core: Rc<Core>,
-    held: Vec<(EndpointKey, Held)>,
+    held: Vec<(EndpointKey, EndpointLoad)>,
     /// Predicted reading at each endpoint that isn't known to be done, in milliseconds.
     read_ms: f64,
     readers: Vec<EndpointKey>,
@@ -24,7 +24,7 @@
     /// Adds the load to the board and announces the reading to peers.
     pub(crate) fn take(
         core: &Rc<Core>,
-        held: Vec<(EndpointKey, Held)>,
+        held: Vec<(EndpointKey, EndpointLoad)>,
         readers: Vec<EndpointKey>,
         read_ms: f64,
     ) -> Self {
@@ -34,7 +34,7 @@
             core.place_read(*endpoint, read_ms, reads);
         }
         for (endpoint, load) in &held {
-            core.board.borrow_mut().hold(*endpoint, load);
+            core.board.borrow_mut().add_own(*endpoint, load);
             core.unreported_held
                 .borrow_mut()
                 .push((*endpoint, load.clone()));
@@ -55,9 +55,9 @@
     pub(crate) fn record_first_token(&mut self) {
         self.readers.clear();
         let mut board = self.core.board.borrow_mut();
-        let is_part = |held: &Held| held.parts > 0;
+        let is_part = |held: &EndpointLoad| held.parts > 0;
         for (endpoint, held) in self.held.iter().filter(|(_, held)| is_part(held)) {
-            board.let_go(*endpoint, held);
+            board.remove_own(*endpoint, held);
         }
         self.held.retain(|(_, held)| !is_part(held));
         drop(board);
@@ -73,12 +73,16 @@
 }
 
 /// What one of the `readers` endpoints reads of a prompt.
-fn reads(held: &[(EndpointKey, Held)], readers: usize, endpoint: EndpointKey) -> Reads {
-    let writes = |(key, held): &(EndpointKey, Held)| *key == endpoint && held.running() > 0;
+fn reads(
+    held: &[(EndpointKey, EndpointLoad)],
+    readers: usize,
+    endpoint: EndpointKey,
+) -> PrefillPart {
+    let writes = |(key, held): &(EndpointKey, EndpointLoad)| *key == endpoint && held.running() > 0;
     match (readers, held.iter().any(writes)) {
-        (1, _) => Reads::Whole,
-        (_, true) => Reads::FirstPart,
-        (_, false) => Reads::Part,
+        (1, _) => PrefillPart::Whole,
+        (_, true) => PrefillPart::FirstPart,
+        (_, false) => PrefillPart::Part,
     }
 }
 
@@ -87,16 +91,16 @@
         let now_ms = self.core.now_ms();
         let mut board = self.core.board.borrow_mut();
         for (endpoint, held) in &self.held {
-            board.let_go(*endpoint, held);
+            board.remove_own(*endpoint, held);
         }
         for endpoint in &self.readers {
-            board.correct(*endpoint, now_ms, self.read_ms);
+            board.correct_prefill(*endpoint, now_ms, self.read_ms);
         }
         drop(board);
         let given_up = self.readers.iter().map(|endpoint| UnreportedRead {
             endpoint: *endpoint,
             read_ms: self.read_ms,
-            reads: Reads::GivenUp,
+            reads: PrefillPart::GivenUp,
         });
         self.core.unreported_reads.borrow_mut().extend(given_up);
         self.tell_freed();
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::board::Board;
-use mgs_placing::board::Held;
-use mgs_placing::board::PeerKey;
-use mgs_placing::board::Said;
-use mgs_placing::board::PEER_SILENCE_MS;
-use mgs_placing::share::Beacon;
-use mgs_placing::share::Knows;
+use mgs_placing::load_table;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::load_table::LoadTable;
+use mgs_placing::load_table::PeerKey;
+use mgs_placing::load_table::PEER_SILENCE_MS;
+use mgs_placing::peer_message::PeerMessage;
+use mgs_placing::peer_message::TopicVersion;
 use mgs_quarantine::table::Told;
 use serde::Deserialize;
 use serde::Serialize;
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Message {
     /// The work that the sender has placed, and what it knows of the store.
-    Beacon(Box<Beacon>),
+    Beacon(Box<PeerMessage>),
     /// Requests that have crashed endpoints.
     Crashes {
         /// Incarnation of the sender.
@@ -89,8 +89,8 @@
     }
 
     /// Incarnations of the peers that are heard and aren't shutting down.
-    fn staying(&self, board: &Board) -> Vec<u64> {
-        let stay = |peer: &&PeerKey| board.is_heard(**peer) && !self.leaving.contains(peer);
+    fn staying(&self, board: &LoadTable) -> Vec<u64> {
+        let stay = |peer: &&PeerKey| board.knows_peer(**peer) && !self.leaving.contains(peer);
         let mut staying: Vec<u64> = self
             .last_sequences
             .keys()
@@ -158,7 +158,12 @@
     }
 }
 
-fn handle_beacon(core: &Core, peer_table: &RefCell<PeerTable>, from: SocketAddr, beacon: &Beacon) {
+fn handle_beacon(
+    core: &Core,
+    peer_table: &RefCell<PeerTable>,
+    from: SocketAddr,
+    beacon: &PeerMessage,
+) {
     if beacon.from == core.incarnation {
         return;
     }
@@ -200,7 +205,7 @@
     let fleet = core.published.fleet();
     let by_hash = core.published.endpoint_keys_by_hash();
     let key_of = |hash: u64| by_hash.get(&hash).copied();
-    let held: Vec<(EndpointKey, Held)> = beacon
+    let held: Vec<(EndpointKey, EndpointLoad)> = beacon
         .held
         .iter()
         .filter_map(|at| Some((key_of(at.endpoint)?, at.held.clone())))
@@ -209,7 +214,7 @@
     for read in &beacon.reads {
         if let Some(key) = key_of(read.endpoint).filter(|key| fleet.by_key.contains_key(key)) {
             let read_ms = f64::from(read.read_ms);
-            board.read_elsewhere(key, now_ms, read_ms, read.reads);
+            board.add_peer_prefill(key, now_ms, read_ms, read.reads);
         }
     }
     for refused in &beacon.refusals {
@@ -220,23 +225,23 @@
         }
     }
     if !beacon.is_whole {
-        board.hear_more(peer, now_ms, beacon.waiting, held);
+        board.extend_peer(peer, now_ms, beacon.waiting, held);
         return;
     }
-    let said = Said {
+    let said = load_table::PeerReport {
         zone: beacon.zone,
         waiting: beacon.waiting,
         lengths: beacon.lengths.clone(),
-        held,
+        loads: held,
     };
-    board.hear(peer, now_ms, said);
+    board.replace_peer(peer, now_ms, said);
 }
 
 /// Takes what a peer knows of the store.
-fn record_peer_reports(core: &Core, from: SocketAddr, beacon: &Beacon) {
+fn record_peer_reports(core: &Core, from: SocketAddr, beacon: &PeerMessage) {
     let published = &core.published;
     let now_ms = core.now_whole_ms();
-    let record = |freshness: &Freshness, knows: Option<Knows>| {
+    let record = |freshness: &Freshness, knows: Option<TopicVersion>| {
         let Some(knows) = knows else {
             return;
         };
@@ -277,7 +282,7 @@
         let now_ms = core.now_ms();
         let (silent, peers) = {
             let mut board = core.board.borrow_mut();
-            (board.expire(now_ms), board.peers())
+            (board.expire_peers(now_ms), board.peer_count())
         };
         refresh_reader_role(&core, &peer_table.borrow());
         let staying = peer_table.borrow().staying(&core.board.borrow());
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -13,12 +13,12 @@
 
 use displaydoc::Display;
 use mgs_backpressure::table::Table;
-use mgs_placing::board::Board;
-use mgs_placing::board::ZoneKey;
-use mgs_placing::lengths::Lengths;
+use mgs_placing::dispatch;
+use mgs_placing::length_counts::LengthCounter;
+use mgs_placing::load_table::LoadTable;
+use mgs_placing::load_table::ZoneKey;
 use mgs_placing::options;
-use mgs_placing::spare::Spare;
-use mgs_placing::turn;
+use mgs_placing::spare_slots::SpareSlotRate;
 use mgs_routing::outlier;
 use mgs_routing::outlier::Outliers;
 use rand::rngs::SysRng;
@@ -67,9 +67,9 @@
     /// after one second; trying another endpoint is faster.
     pub connect_timeout_ms: u64,
     /// Placement of prompts on engines.
-    pub placing: options::Options,
+    pub placing: options::PlacementOptions,
     /// Order in which long prompts are sent.
-    pub turns: turn::Options,
+    pub turns: dispatch::DispatchOptions,
     /// Detection of failing endpoints, which are then skipped for a while.
     pub outliers: outlier::Options,
     /// Quarantine of requests that crash endpoints.
@@ -90,8 +90,8 @@
             ready_listen: any_port,
             peer_listen: any_port,
             connect_timeout_ms: 300,
-            placing: options::Options::default(),
-            turns: turn::Options::default(),
+            placing: options::PlacementOptions::default(),
+            turns: dispatch::DispatchOptions::default(),
             outliers: outlier::Options {
                 // An unreachable endpoint never answers, and each request that finds this out costs
                 // its client the time to connect elsewhere.
@@ -170,14 +170,14 @@
     Ok(Rc::new(Core {
         dialect,
         published,
-        board: RefCell::new(Board::new()),
+        board: RefCell::new(LoadTable::new()),
         unreported_reads: RefCell::new(Vec::new()),
         unreported_held: RefCell::new(Vec::new()),
         whole_wanted: Cell::new(false),
         board_changed: Notify::new(),
         waiting_for_spare: RefCell::new(BTreeSet::new()),
-        spare: RefCell::new(Spare::default()),
-        lengths: RefCell::new(Lengths::default()),
+        spare: RefCell::new(SpareSlotRate::default()),
+        lengths: RefCell::new(LengthCounter::default()),
         waiting: RefCell::new(HashMap::new()),
         outliers: Outliers::new(options.outliers),
         helpers: RefCell::new(HelperRefusals::default()),
--- a/crates/mgs-relay/src/reservations.rs
+++ b/crates/mgs-relay/src/reservations.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http::Request;
 use http::StatusCode;
-use mgs_placing::way::Reserve;
+use mgs_placing::placement::MemoryReservation;
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
@@ -58,7 +58,7 @@
     pub(crate) async fn reserve_all(
         core: &Rc<Core>,
         fleet: &Fleet,
-        reserves: &[Reserve],
+        reserves: &[MemoryReservation],
     ) -> Option<Self> {
         let mut all = Self::none(core);
         let mut calls = Vec::new();
--- a/crates/mgs-relay/src/wait.rs
+++ b/crates/mgs-relay/src/wait.rs
@@ -7,20 +7,20 @@
 use std::time::Duration;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::lengths::Band;
-use mgs_placing::line::Firsts;
-use mgs_placing::line::Score;
+use mgs_placing::dispatch;
+use mgs_placing::dispatch::DispatchDecision;
+use mgs_placing::length_counts::LengthBand;
 use mgs_placing::model::EngineModel;
-use mgs_placing::near::place;
-use mgs_placing::near::Field;
-use mgs_placing::near::Placed;
-use mgs_placing::near::Scope;
 use mgs_placing::need::Need;
-use mgs_placing::turn;
-use mgs_placing::turn::Turn;
-use mgs_placing::way::Candidate;
-use mgs_placing::way::NoPlace;
-use mgs_placing::way::Placement;
+use mgs_placing::placement::Candidate;
+use mgs_placing::placement::Placement;
+use mgs_placing::placement::PlacementError;
+use mgs_placing::queue_order::QueueHeads;
+use mgs_placing::queue_order::Score;
+use mgs_placing::zone::place_prompt;
+use mgs_placing::zone::Scope;
+use mgs_placing::zone::ScopedPlacement;
+use mgs_placing::zone::ZoneCandidates;
 use tokio::time::sleep;
 
 use crate::core::Core;
@@ -79,7 +79,7 @@
 /// Waits until it is the prompt's turn, or returns a refusal.
 pub(crate) async fn wait_for_turn(
     prompt: &Prompt<'_>,
-    band: Option<Band>,
+    band: Option<LengthBand>,
     need: impl Fn() -> Need,
     tried: &TriedEndpoints,
 ) -> Result<ReadyPrompt, Refusal> {
@@ -88,40 +88,40 @@
     loop {
         let need = need();
         let fleet = core.published.fleet();
-        let Placed { placement, scope } = choose_engines(prompt, &fleet, &need, tried)?;
+        let ScopedPlacement { placement, scope } = choose_engines(prompt, &fleet, &need, tried)?;
         let turns = &core.options.turns;
         // Short prompts have no line, and a hundred arrive per second, so the counts of peers
         // aren't summed for them.
         let sent_ratio = band.map_or(1.0, |band| core.sent_ratio(band));
-        let own = turn::score(&need, &placement, prompt.model, sent_ratio, turns);
-        let asked = turn::Waiting {
+        let own = dispatch::score(&need, &placement, prompt.model, sent_ratio, turns);
+        let asked = dispatch::WaitingPrompt {
             need: &need,
             placement: &placement,
             model: prompt.model,
-            own,
+            score: own,
             others: waiting.others(scope),
             ahead: waiting.ahead(),
             spare_per_s: core.spare.borrow().per_s(core.now_ms()),
             gateways: gateways(core, scope),
         };
         let is_short = asked.is_short(turns);
-        match turn::turn(&asked, turns) {
-            Turn::Go if is_short && turn::takes_spare(&asked, turns) => {
-                core.spare.borrow_mut().found(core.now_ms());
+        match dispatch::decide(&asked, turns) {
+            DispatchDecision::Dispatch if is_short && dispatch::needs_spare_slot(&asked, turns) => {
+                core.spare.borrow_mut().record(core.now_ms());
                 return Ok(waiting.ready(need, placement, fleet));
             }
-            Turn::Go => return Ok(waiting.ready(need, placement, fleet)),
-            Turn::Refuse => {
+            DispatchDecision::Dispatch => return Ok(waiting.ready(need, placement, fleet)),
+            DispatchDecision::Refuse => {
                 let wait_ms = match is_short {
-                    true => asked.spare_ms(turns),
+                    true => asked.spare_slot_wait_ms(turns),
                     false => placement.backlog_ms,
                 };
                 return Err(refuse_too_late(prompt, &need, &placement, wait_ms));
             }
-            Turn::Wait if is_returned_on_drain(core, &asked) => {
+            DispatchDecision::Wait if is_returned_on_drain(core, &asked) => {
                 return Err(Refusal::after(Fault::Leaving, RETRY_AFTER_LEAVING_MS));
             }
-            Turn::Wait => {}
+            DispatchDecision::Wait => {}
         }
         let is_new = match is_short {
             true => waiting.list_for_spare(),
@@ -140,9 +140,11 @@
 }
 
 /// Whether this host drains, and the waiting prompt wouldn't end before it stops.
-fn is_returned_on_drain(core: &Core, asked: &turn::Waiting<'_>) -> bool {
+fn is_returned_on_drain(core: &Core, asked: &dispatch::WaitingPrompt<'_>) -> bool {
     let left_ms = core.drain.left_ms();
-    left_ms.is_some_and(|left_ms| turn::gives_back(asked, left_ms, &core.options.turns))
+    left_ms.is_some_and(|left_ms| {
+        dispatch::should_return_to_client(asked, left_ms, &core.options.turns)
+    })
 }
 
 /// Lists a prompt as waiting until dropped.
@@ -203,7 +205,7 @@
     async fn sleep_until_first(&self, own: Score, scope: Scope) {
         for _ in 0..POLLS_PER_PLACEMENT {
             sleep(TURN_POLL_INTERVAL).await;
-            let is_first = own <= self.others(scope).in_line_of(own);
+            let is_first = own <= self.others(scope).head_for(own);
             self.record_poll(is_first);
             if is_first {
                 return;
@@ -223,14 +225,16 @@
 
     /// Least scores of the other waiting prompts, here and at peers whose prompts wait for the same
     /// engines.
-    fn others(&self, scope: Scope) -> Firsts {
+    fn others(&self, scope: Scope) -> QueueHeads {
         let waiting = self.core.waiting.borrow();
         let others = waiting.iter().filter(|(number, _)| **number != self.number);
-        let here = others.fold(Firsts::default(), |firsts, (_, score)| firsts.with(*score));
+        let here = others.fold(QueueHeads::default(), |firsts, (_, score)| {
+            firsts.with_score(*score)
+        });
         let board = self.core.board.borrow();
-        here.and(match scope {
-            Scope::Zone => board.waiting_in(self.core.zone),
-            Scope::Fleet => board.waiting(),
+        here.merge(match scope {
+            Scope::Zone => board.peer_heads_in(self.core.zone),
+            Scope::Fleet => board.peer_heads(),
         })
     }
 }
@@ -238,7 +242,7 @@
 /// Gateways that share the engines considered for a prompt, this one included.
 fn gateways(core: &Core, scope: Scope) -> usize {
     match scope {
-        Scope::Zone => core.board.borrow().peers_in(core.zone) + 1,
+        Scope::Zone => core.board.borrow().peer_count_in(core.zone) + 1,
         Scope::Fleet => core.gateway_count.borrow().heard_gateways(),
     }
 }
@@ -261,7 +265,7 @@
     fleet: &Fleet,
     need: &Need,
     tried: &TriedEndpoints,
-) -> Result<Placed, Refusal> {
+) -> Result<ScopedPlacement, Refusal> {
     let core = prompt.core;
     let shut = core.shut();
     let present = active_endpoints(core, fleet, prompt.service);
@@ -276,20 +280,20 @@
     let candidate = |endpoint: &Arc<Endpoint>| Candidate {
         key: endpoint.key,
         slowness: core.outliers.slowness(endpoint.key),
-        trial: is_on_trial(core, endpoint),
-        helps: !refusing.contains(&endpoint.key),
-        leads: !shut.contains(endpoint),
+        on_trial: is_on_trial(core, endpoint),
+        can_help: !refusing.contains(&endpoint.key),
+        can_lead: !shut.contains(endpoint),
     };
     let all: Vec<Candidate> = endpoints.iter().map(candidate).collect();
     register_pass_times(core, &all, prompt.model);
-    let field = Field {
-        near: &all[..near],
+    let field = ZoneCandidates {
+        own_zone: &all[..near],
         all: &all,
     };
     let board = core.board.borrow();
     let options = &core.options.placing;
     let (draw, now_ms) = (core.random_unit(), core.now_ms());
-    let chosen = place(need, &field, &board, prompt.model, options, draw, now_ms);
+    let chosen = place_prompt(need, &field, &board, prompt.model, options, draw, now_ms);
     chosen.map_err(|no_place| {
         let refusal = refusal_for(no_place);
         place_log::not_placed(prompt, need, all.len(), &no_place, &refusal);
@@ -322,10 +326,10 @@
 
 /// Records the pass duration of the candidates; it is the same for all engines of a service.
 fn register_pass_times(core: &Core, candidates: &[Candidate], model: &EngineModel) {
-    let pass_ms = model.bare_pass_ms();
+    let pass_ms = model.min_pass_ms();
     let mut board = core.board.borrow_mut();
     for candidate in candidates {
-        board.know_pass(candidate.key, pass_ms);
+        board.set_pass_ms(candidate.key, pass_ms);
     }
 }
 
@@ -336,18 +340,24 @@
     placement: &Placement,
     backlog_ms: f64,
 ) -> Refusal {
-    let no_place = NoPlace::TooLate { backlog_ms };
+    let no_place = PlacementError::TooLate { backlog_ms };
     let refusal = refusal_for(no_place);
-    place_log::not_placed(prompt, need, placement.scene.engines, &no_place, &refusal);
+    place_log::not_placed(
+        prompt,
+        need,
+        placement.snapshot.engines,
+        &no_place,
+        &refusal,
+    );
     refusal
 }
 
-fn refusal_for(no_place: NoPlace) -> Refusal {
+fn refusal_for(no_place: PlacementError) -> Refusal {
     let after = |backlog_ms: f64| (backlog_ms as u64).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS);
     match no_place {
-        NoPlace::NoEndpoint => no_endpoint(),
-        NoPlace::TooLarge => Refusal::of(Fault::TooLarge),
-        NoPlace::TooLate { backlog_ms } => Refusal::after(Fault::TooLate, after(backlog_ms)),
-        NoPlace::Full { backlog_ms, .. } => Refusal::after(Fault::Full, after(backlog_ms)),
+        PlacementError::NoEndpoint => no_endpoint(),
+        PlacementError::TooLarge => Refusal::of(Fault::TooLarge),
+        PlacementError::TooLate { backlog_ms } => Refusal::after(Fault::TooLate, after(backlog_ms)),
+        PlacementError::Full { backlog_ms, .. } => Refusal::after(Fault::Full, after(backlog_ms)),
     }
 }
