--- a/crates/mgs-relay/src/dispatch_outcome.rs
+++ b/crates/mgs-relay/src/dispatch_outcome.rs
@@ -96,8 +96,8 @@
         );
     }
 
-    /// Turns the outcome into [`Ended::Unhelped`] if it names a helper of this dispatch as being at
-    /// fault.
+    /// Turns the outcome into [`DispatchResult::HelperRefused`] if it names a helper of this
+    /// dispatch as being at fault.
     pub(crate) fn with_helper_at_fault(
         &self,
         placed: &PlacedRequest,
