--- a/crates/mgs-backpressure/src/advice.rs
+++ b/crates/mgs-backpressure/src/advice.rs
@@ -1,39 +1,43 @@
-//! What one answer of an endpoint says of the endpoint.
+//! The backpressure fields of one response of an endpoint.
 
-/// A field of an answer.
+/// One backpressure field of a response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum Field<T> {
-    /// The answer doesn't tell: it is another's, or a failure. Nothing follows from it.
+    /// The response says nothing about it, since another process sent it or it is an error. The
+    /// known state is kept.
     #[default]
-    Unsaid,
-    /// It isn't there, in an answer that would have it.
+    Unknown,
+    /// The response could carry the field and doesn't.
     Absent,
-    /// It is there and can't be used: nothing follows from it, not even that it isn't there.
-    Unusable,
-    /// What it says.
-    Says(T),
+    /// The field is present and malformed. The known state is kept; the field doesn't count as
+    /// absent.
+    Invalid,
+    /// The parsed value.
+    Value(T),
 }
 
-/// What one answer says.
+/// The backpressure fields of one response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Advice {
-    /// Requests a second that the endpoint takes from all gateways together, for as long as it says so.
+    /// Requests per second that the endpoint accepts from all gateways together, until a response
+    /// lacks the field.
     pub limit_per_s: Field<f64>,
-    /// It leaves: it ends soon, and takes nothing new.
+    /// The endpoint is shutting down and accepts no new requests.
     pub leaving: Field<()>,
-    /// It turned the request away, and wants nothing more from this gateway for so many milliseconds.
-    pub rest_ms: Field<f64>,
+    /// The endpoint refused the request and asks this gateway to send nothing for this time, in
+    /// milliseconds.
+    pub backoff_ms: Field<f64>,
 }
 
 impl Advice {
-    /// Whether a field of it is there.
-    pub(crate) fn says_anything(&self) -> bool {
-        self.limit_per_s.is_there() || self.leaving.is_there() || self.rest_ms.is_there()
+    /// Whether any field is present, valid or malformed.
+    pub(crate) fn has_any_field(&self) -> bool {
+        self.limit_per_s.is_present() || self.leaving.is_present() || self.backoff_ms.is_present()
     }
 }
 
 impl<T> Field<T> {
-    fn is_there(&self) -> bool {
-        matches!(self, Self::Unusable | Self::Says(_))
+    fn is_present(&self) -> bool {
+        matches!(self, Self::Invalid | Self::Value(_))
     }
 }
--- a/crates/mgs-backpressure/src/lib.rs
+++ b/crates/mgs-backpressure/src/lib.rs
@@ -1,12 +1,14 @@
-//! What endpoints ask of those that send them requests (backpressure), and what may be sent to them for it.
+//! Backpressure from endpoints: the limits that endpoints announce in their responses, and how
+//! gateways apply them.
 //!
-//! An endpoint in need says so in its answers, to all gateways that it answers. That is newer than what any store says
-//! of it, and belongs to one life of the endpoint.
+//! An endpoint under load reports it in its responses, to every gateway that it answers. These
+//! reports are newer than what the store holds about the endpoint, and apply to one incarnation of
+//! it.
 //!
-//! - [`advice`]: what one answer says.
-//! - [`share`]: which gateways may use a limit that all of them share.
-//! - [`told`]: what gateways tell each other.
-//! - [`table`]: what one gateway knows of all endpoints, and whether one may be sent something now.
+//! - [`advice`]: the backpressure fields of one response.
+//! - [`share`]: how gateways divide a limit that applies to all of them together.
+//! - [`peer_update`]: what gateways exchange about limits.
+//! - [`table`]: the state of all endpoints at one gateway, and whether a request may be sent now.
 
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
@@ -14,6 +16,6 @@
 pub mod advice;
 mod limit;
 pub mod options;
+pub mod peer_update;
 pub mod share;
 pub mod table;
-pub mod told;
--- a/crates/mgs-backpressure/src/limit.rs
+++ b/crates/mgs-backpressure/src/limit.rs
@@ -1,150 +1,169 @@
-//! A limit of one endpoint at one gateway: what is known of it, and what may be sent by it.
+//! The limit of one endpoint at one gateway: its last announced value, and the requests that may
+//! still be sent under it.
 
 use std::collections::HashMap;
 
 use crate::options::Options;
+use crate::peer_update::LimitUpdate;
+use crate::peer_update::PeerUpdate;
+use crate::share::Allocation;
 use crate::share::Gateways;
-use crate::share::Turn;
-use crate::table::Life;
-use crate::told::Told;
-use crate::told::Word;
+use crate::table::IncarnationHash;
 
-/// A turn as it was found.
+/// An allocation and how long it is valid.
 #[derive(Debug, Clone, Copy)]
-struct Found {
-    /// For which gateways.
-    version: u64,
-    until_ms: f64,
-    turn: Turn,
+struct CachedAllocation {
+    /// [`SharingContext::allocation_version`] that it was computed for.
+    allocation_version: u64,
+    valid_until_ms: f64,
+    allocation: Allocation,
 }
 
-/// A limit of one endpoint.
+/// The limit of one endpoint: a token bucket that is shared with the other gateways.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Limit {
-    word: Option<Word>,
-    /// Whether this gateway heard the word from the endpoint.
-    is_own: bool,
-    /// Requests that this gateway has sent by it.
-    sent: u32,
-    /// Requests that others say that they have sent by it, by their incarnations.
-    sent_by: HashMap<u64, u32>,
-    /// Requests that all gateways together may send at once; below 0 if they have sent too many.
-    saved: f64,
-    /// When that was last brought up to date, in milliseconds; `None` before the limit was ever named.
-    filled_ms: Option<f64>,
-    /// The turn as it was last found.
-    found: Option<Found>,
+    latest: Option<LimitUpdate>,
+    /// Whether this gateway got `latest` from the endpoint rather than from a peer.
+    is_first_hand: bool,
+    /// Requests that this gateway has sent under the limit.
+    sent_requests: u32,
+    /// Requests that other gateways report to have sent under it, by their incarnations.
+    peer_sent_requests: HashMap<u64, u32>,
+    /// Requests that all gateways together may send now; negative if they sent too many.
+    available_requests: f64,
+    /// When `available_requests` was last refilled, in milliseconds; `None` before the first limit.
+    refilled_ms: Option<f64>,
+    /// The last computed allocation, until it expires or the limit changes.
+    cached_allocation: Option<CachedAllocation>,
 }
 
 impl Limit {
-    /// Requests a second, if it is named.
+    /// Requests per second, if there is a limit.
     pub(crate) fn per_s(&self) -> Option<f64> {
-        self.word?.per_s
+        self.latest?.per_s
     }
 
-    /// Takes a word; tells whether it changes what is known.
-    pub(crate) fn hear(&mut self, word: Word, is_own: bool) -> bool {
-        if self.word.is_some_and(|known| !word.goes_before(&known)) {
+    /// Applies an update if it is newer than the known one. Returns whether the limit changes.
+    pub(crate) fn apply_update(&mut self, update: LimitUpdate, is_first_hand: bool) -> bool {
+        if self
+            .latest
+            .is_some_and(|latest| !update.supersedes(&latest))
+        {
             return false;
         }
-        let is_changed = word.per_s != self.per_s();
-        self.word = Some(word);
-        self.is_own = is_own;
+        let is_changed = update.per_s != self.per_s();
+        self.latest = Some(update);
+        self.is_first_hand = is_first_hand;
         if is_changed {
-            self.found = None;
+            self.cached_allocation = None;
         }
         is_changed
     }
 
-    /// Another gateway has sent so many requests by it.
-    pub(crate) fn hear_sent(&mut self, gateway: u64, sent: u32) {
-        let known = self.sent_by.entry(gateway).or_default();
-        // A message that comes late tells less than is known.
-        let more = sent.saturating_sub(*known);
-        *known += more;
-        self.saved -= f64::from(more);
+    /// Records the total that another gateway reports to have sent.
+    pub(crate) fn record_peer_sent(&mut self, gateway: u64, sent_requests: u32) {
+        let known = self.peer_sent_requests.entry(gateway).or_default();
+        // A message that was overtaken carries a smaller total.
+        let additional = sent_requests.saturating_sub(*known);
+        *known += additional;
+        self.available_requests -= f64::from(additional);
     }
 
-    /// Forgets what gateways sent that are gone.
-    pub(crate) fn forget(&mut self, is_there: impl Fn(u64) -> bool) {
-        self.sent_by.retain(|gateway, _| is_there(*gateway));
+    /// Forgets the totals of gateways that are no longer listed.
+    pub(crate) fn retain_gateways(&mut self, is_listed: impl Fn(u64) -> bool) {
+        self.peer_sent_requests
+            .retain(|gateway, _| is_listed(*gateway));
     }
 
-    /// What peers are to be told.
-    pub(crate) fn told(&self) -> Told {
-        Told {
-            word: self.word.filter(|_| self.is_own),
-            sent: self.sent,
-            leaves: false,
+    /// The update to send to peers.
+    pub(crate) fn peer_update(&self) -> PeerUpdate {
+        PeerUpdate {
+            limit: self.latest.filter(|_| self.is_first_hand),
+            sent_requests: self.sent_requests,
+            is_leaving: false,
         }
     }
 
-    /// Milliseconds until one request may be sent; 0 for now.
-    pub(crate) fn opens_in_ms(&mut self, life: Life, scene: &Scene<'_>) -> f64 {
+    /// Milliseconds until a request may be sent; 0 if it may be sent now.
+    pub(crate) fn blocked_for_ms(
+        &mut self,
+        incarnation: IncarnationHash,
+        context: &SharingContext<'_>,
+    ) -> f64 {
         let Some(limit_per_s) = self.per_s() else {
             return 0.0;
         };
-        let turn = self.turn(life, limit_per_s, scene);
-        self.fill(limit_per_s, &turn, scene);
-        let is_open = turn.is_held && self.saved >= 1.0;
+        let allocation = self.allocation(incarnation, limit_per_s, context);
+        self.refill(limit_per_s, &allocation, context);
+        let is_open = allocation.is_holder && self.available_requests >= 1.0;
         if is_open {
             return 0.0;
         }
-        // A client that comes back may meet any gateway.
-        let per_s = limit_per_s.max(scene.options.least_per_s);
-        (1.0 - self.saved).max(1.0) / per_s * 1e3
+        // A client that retries may reach any gateway, so this is the time until any of them may send.
+        let per_s = limit_per_s.max(context.options.min_per_s);
+        (1.0 - self.available_requests).max(1.0) / per_s * 1e3
     }
 
-    /// One request is sent; tells whether it counts.
-    pub(crate) fn take(&mut self) -> bool {
+    /// Records a request that is sent now. Returns whether it counts against a limit.
+    pub(crate) fn record_sent(&mut self) -> bool {
         if self.per_s().is_none() {
             return false;
         }
-        self.saved -= 1.0;
-        self.sent += 1;
+        self.available_requests -= 1.0;
+        self.sent_requests += 1;
         true
     }
 
-    fn turn(&mut self, life: Life, limit_per_s: f64, scene: &Scene<'_>) -> Turn {
-        let now_ms = scene.now_ms;
-        let is_valid = |found: &Found| found.version == scene.version && now_ms < found.until_ms;
-        if let Some(found) = self.found.filter(is_valid) {
-            return found.turn;
+    fn allocation(
+        &mut self,
+        incarnation: IncarnationHash,
+        limit_per_s: f64,
+        context: &SharingContext<'_>,
+    ) -> Allocation {
+        let now_ms = context.now_ms;
+        let is_valid = |cached_allocation: &CachedAllocation| {
+            cached_allocation.allocation_version == context.allocation_version
+                && now_ms < cached_allocation.valid_until_ms
+        };
+        if let Some(cached_allocation) = self.cached_allocation.filter(is_valid) {
+            return cached_allocation.allocation;
         }
-        let options = scene.options;
-        let turn = scene
-            .gateways
-            .turn(life, limit_per_s, scene.clock_ms, options);
-        self.found = Some(Found {
-            version: scene.version,
-            until_ms: now_ms + turn.left_ms,
-            turn,
+        let options = context.options;
+        let allocation =
+            context
+                .gateways
+                .allocation(incarnation, limit_per_s, context.clock_ms, options);
+        self.cached_allocation = Some(CachedAllocation {
+            allocation_version: context.allocation_version,
+            valid_until_ms: now_ms + allocation.remaining_ms,
+            allocation,
         });
-        turn
+        allocation
     }
 
-    /// Saves what the limit has come to since the last time, for all gateways together.
-    fn fill(&mut self, limit_per_s: f64, turn: &Turn, scene: &Scene<'_>) {
-        let now_ms = scene.now_ms;
-        let Some(filled_ms) = self.filled_ms.replace(now_ms) else {
-            self.saved = 1.0;
+    /// Adds the requests that have become available to all gateways since the last refill.
+    fn refill(&mut self, limit_per_s: f64, allocation: &Allocation, context: &SharingContext<'_>) {
+        let now_ms = context.now_ms;
+        let Some(refilled_ms) = self.refilled_ms.replace(now_ms) else {
+            self.available_requests = 1.0;
             return;
         };
-        let per_s = limit_per_s.max(scene.options.least_per_s) * turn.share;
-        let most = (per_s * scene.options.burst_ms / 1e3).max(1.0);
-        let since_ms = (now_ms - filled_ms).max(0.0);
-        // Whoever starts late hears of all that was ever sent.
-        let least = -(turn.holders as f64);
-        self.saved = (self.saved.max(least) + per_s * since_ms / 1e3).min(most);
+        let per_s = limit_per_s.max(context.options.min_per_s) * allocation.share;
+        let capacity = (per_s * context.options.burst_ms / 1e3).max(1.0);
+        let elapsed_ms = (now_ms - refilled_ms).max(0.0);
+        // Bounds the debt: a gateway that starts late gets the totals of all requests ever sent.
+        let floor = -(allocation.holders as f64);
+        self.available_requests =
+            (self.available_requests.max(floor) + per_s * elapsed_ms / 1e3).min(capacity);
     }
 }
 
-/// What a limit is shared by at a moment.
+/// How a limit is shared at one moment.
 #[derive(Debug)]
-pub(crate) struct Scene<'a> {
+pub(crate) struct SharingContext<'a> {
     pub(crate) gateways: &'a Gateways,
-    /// Changes with the gateways.
-    pub(crate) version: u64,
+    /// Changes whenever a cached allocation becomes invalid.
+    pub(crate) allocation_version: u64,
     pub(crate) clock_ms: f64,
     pub(crate) now_ms: f64,
     pub(crate) options: &'a Options,
--- a/crates/mgs-backpressure/src/table.rs
+++ b/crates/mgs-backpressure/src/table.rs
@@ -1,4 +1,5 @@
-//! What one gateway knows of what endpoints ask, and whether one of them may be sent something now.
+//! The backpressure state of all endpoints at one gateway, and whether a request may be sent to one
+//! of them now.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -6,144 +7,147 @@
 use crate::advice::Advice;
 use crate::advice::Field;
 use crate::limit::Limit;
-use crate::limit::Scene;
+use crate::limit::SharingContext;
 use crate::options::Options;
+use crate::peer_update::LimitUpdate;
+use crate::peer_update::PeerUpdate;
 use crate::share::Gateways;
 use crate::share::SharedClock;
-use crate::told::Told;
-use crate::told::Word;
 
-/// Most endpoints that one message to peers tells of, the others' turn comes with the next: what gateways have placed must fit in
-/// as well.
-const TOLD_MAX: usize = 12;
+/// Most endpoints in one message to peers; the others follow in the next message. The message must
+/// also have room for the placements of the gateway.
+const UPDATES_PER_MESSAGE_MAX: usize = 12;
 
-/// One life of an endpoint: the hash of its incarnation, the same at all gateways.
+/// One incarnation of an endpoint, by a hash that is the same at all gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life(pub u64);
+pub struct IncarnationHash(pub u64);
 
-/// What is new in an answer.
+/// A change of an endpoint's state that a response brings.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum News {
-    /// It names a limit, or another one than before, in requests a second.
+pub enum AdviceChange {
+    /// The endpoint announces a limit, or changes it, in requests per second.
     Limited(f64),
-    /// It names none any more.
+    /// The endpoint removes its limit.
     Unlimited,
-    /// It leaves.
-    Leaves,
-    /// It wants rest from this gateway, for so many milliseconds.
-    WantsRest(f64),
-    /// It names a limit that can't be used, for the first time.
-    UnusableLimit,
-    /// It says of leaving what can't be used, for the first time.
-    UnusableLeaving,
-    /// It asks for a rest that can't be used, for the first time.
-    UnusableRest,
+    /// The endpoint is shutting down.
+    Leaving,
+    /// The endpoint asks this gateway to back off for this time, in milliseconds.
+    BackoffRequested(f64),
+    /// The first malformed limit from the endpoint.
+    InvalidLimit,
+    /// The first malformed announcement of a shutdown from the endpoint.
+    InvalidLeaving,
+    /// The first malformed backoff from the endpoint.
+    InvalidBackoff,
 }
 
-impl News {
-    /// Name in logs and counters.
+impl AdviceChange {
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Limited(_) => "limited",
             Self::Unlimited => "unlimited",
-            Self::Leaves => "leaves",
-            Self::WantsRest(_) => "wants_rest",
-            Self::UnusableLimit => "unusable_limit",
-            Self::UnusableLeaving => "unusable_leaving",
-            Self::UnusableRest => "unusable_rest",
+            Self::Leaving => "leaves",
+            Self::BackoffRequested(_) => "wants_rest",
+            Self::InvalidLimit => "unusable_limit",
+            Self::InvalidLeaving => "unusable_leaving",
+            Self::InvalidBackoff => "unusable_rest",
         }
     }
 }
 
-/// Why an endpoint may not be sent anything now.
+/// Why no request may be sent to an endpoint now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
-    /// It leaves.
+pub enum BlockReason {
+    /// The endpoint is shutting down.
     Leaving,
-    /// It has turned this gateway away and wants rest from it.
-    Rest,
-    /// What it takes from all gateways together is used up, or another gateway's to use.
+    /// The endpoint refused a request of this gateway and asked it to back off.
+    Backoff,
+    /// The limit shared by all gateways is used up, or other gateways are its holders now.
     Limit,
 }
 
-impl Reason {
-    /// Name in logs and counters.
+impl BlockReason {
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Leaving => "leaving",
-            Self::Rest => "rest",
+            Self::Backoff => "rest",
             Self::Limit => "limit",
         }
     }
 
-    /// Whether nothing at all is to be asked of the endpoint, not even to read a part of a prompt for another. A limit is
-    /// one of requests of its own.
-    pub fn bars_help(self) -> bool {
+    /// Whether this also excludes the endpoint as a helper that reads a part of another endpoint's
+    /// prompt. A limit only restricts the endpoint's own requests.
+    pub fn blocks_helpers(self) -> bool {
         self != Self::Limit
     }
 }
 
-/// An endpoint may not be sent anything now.
+/// No request may be sent to an endpoint now.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Shut {
+pub struct Blocked {
     /// Why.
-    pub reason: Reason,
-    /// Time until it may be sent something, here or at another gateway, in milliseconds; infinite if it never may.
-    pub opens_in_ms: f64,
+    pub reason: BlockReason,
+    /// Time until a request may be sent, by this or another gateway, in milliseconds; infinite if
+    /// the endpoint is shutting down.
+    pub blocked_for_ms: f64,
 }
 
-/// What is known of one life.
+/// The state of one incarnation.
 #[derive(Debug, Clone, Default)]
-struct Known {
+struct IncarnationState {
     limit: Limit,
-    /// Whether it has said that it leaves, to this gateway or to a peer; nothing takes that back.
-    leaves: bool,
-    /// Whether it said so to this gateway, which tells peers.
-    is_leaving_own: bool,
-    /// Until when it wants rest from this gateway, in milliseconds.
-    rest_until_ms: f64,
-    /// When peers were last told, in milliseconds; `None` if there is something new for them.
-    told_ms: Option<f64>,
-    /// Fields that couldn't be used.
-    unusable: Vec<News>,
-    /// When it was last said that it asks for something, in milliseconds.
-    said_ms: f64,
+    /// Whether the endpoint announced its shutdown, to this gateway or to a peer. It is never
+    /// reset.
+    is_leaving: bool,
+    /// Whether it announced that to this gateway, which then tells its peers.
+    is_leaving_first_hand: bool,
+    /// End of the backoff that it asked this gateway for, in milliseconds.
+    backoff_until_ms: f64,
+    /// When the state was last sent to peers, in milliseconds; `None` if it has changed since.
+    sent_to_peers_ms: Option<f64>,
+    /// Malformed fields that were already reported.
+    reported_invalid: Vec<AdviceChange>,
+    /// When a response or a peer last brought backpressure for it, in milliseconds.
+    last_advice_ms: f64,
 }
 
-/// What one gateway knows of what endpoints ask.
+/// The backpressure state of all endpoints at one gateway.
 ///
 /// ```
 /// use mgs_backpressure::advice::Advice;
 /// use mgs_backpressure::advice::Field;
 /// use mgs_backpressure::options::Options;
 /// use mgs_backpressure::share::Gateways;
-/// use mgs_backpressure::table::Life;
-/// use mgs_backpressure::table::Table;
+/// use mgs_backpressure::table::IncarnationHash;
+/// use mgs_backpressure::table::Backpressure;
 ///
-/// let mut table = Table::new(Options::default());
+/// let mut table = Backpressure::new(Options::default());
 /// table.set_gateways(Gateways { count: Some(1), ..Gateways::default() });
-/// let limit = Advice { limit_per_s: Field::Says(1.0), ..Advice::default() };
-/// table.hear(Life(7), limit, 0.0, 20.0);
-/// assert!(table.permit(Life(7), 30.0).is_ok());
-/// assert!(table.permit(Life(7), 40.0).is_err());
-/// assert!(table.permit(Life(7), 1_100.0).is_ok());
-/// // An answer without it to a request that was sent later.
+/// let limit = Advice { limit_per_s: Field::Value(1.0), ..Advice::default() };
+/// table.apply_advice(IncarnationHash(7), limit, 0.0, 20.0);
+/// assert!(table.permit(IncarnationHash(7), 30.0).is_ok());
+/// assert!(table.permit(IncarnationHash(7), 40.0).is_err());
+/// assert!(table.permit(IncarnationHash(7), 1_100.0).is_ok());
+/// // A response without a limit, to a request that was sent later.
 /// let none = Advice { limit_per_s: Field::Absent, ..Advice::default() };
-/// table.hear(Life(7), none, 1_100.0, 1_120.0);
-/// assert!(table.permit(Life(7), 1_130.0).is_ok());
+/// table.apply_advice(IncarnationHash(7), none, 1_100.0, 1_120.0);
+/// assert!(table.permit(IncarnationHash(7), 1_130.0).is_ok());
 /// ```
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct Backpressure {
     options: Options,
-    lives: HashMap<Life, Known>,
+    states: HashMap<IncarnationHash, IncarnationState>,
     gateways: Gateways,
-    /// Changes with the gateways.
-    version: u64,
+    /// Changes whenever cached allocations become invalid: with the gateways and with steps of the
+    /// shared clock.
+    allocation_version: u64,
     clock: SharedClock,
 }
 
-impl Table {
-    /// Nothing known yet.
+impl Backpressure {
+    /// Creates an empty state.
     pub fn new(options: Options) -> Self {
         Self {
             options,
@@ -151,52 +155,75 @@
         }
     }
 
-    /// Takes what an answer to a request that was sent at `sent_ms` says; tells what is new in it. An answer without a limit
-    /// takes one back only if its request was sent after the limit was heard: answers may overtake each other.
-    pub fn hear(&mut self, life: Life, advice: Advice, sent_ms: f64, now_ms: f64) -> Vec<News> {
-        if !self.lives.contains_key(&life) && !advice.says_anything() {
+    /// Applies the fields of a response whose request was sent at `sent_ms`. Returns what changes.
+    /// A response without a limit removes a known limit only if its request was sent after the
+    /// limit arrived, since responses may overtake each other.
+    pub fn apply_advice(
+        &mut self,
+        incarnation: IncarnationHash,
+        advice: Advice,
+        sent_ms: f64,
+        now_ms: f64,
+    ) -> Vec<AdviceChange> {
+        if !self.states.contains_key(&incarnation) && !advice.has_any_field() {
             return Vec::new();
         }
-        let known = self.lives.entry(life).or_default();
-        if advice.says_anything() {
-            known.said_ms = now_ms;
+        let state = self.states.entry(incarnation).or_default();
+        if advice.has_any_field() {
+            state.last_advice_ms = now_ms;
         }
-        let limit = known.hear_limit(advice.limit_per_s, sent_ms, now_ms);
-        let leaving = known.hear_leaving(advice.leaving);
-        let rest_max_ms = self.options.rest_max_ms;
-        let rest = known.hear_rest(advice.rest_ms, rest_max_ms, now_ms);
-        limit.into_iter().chain(leaving).chain(rest).collect()
+        let limit = state.apply_limit(advice.limit_per_s, sent_ms, now_ms);
+        let leaving = state.apply_leaving(advice.leaving);
+        let backoff_max_ms = self.options.backoff_max_ms;
+        let backoff = state.apply_backoff(advice.backoff_ms, backoff_max_ms, now_ms);
+        limit.into_iter().chain(leaving).chain(backoff).collect()
     }
 
-    /// Takes what a peer tells.
-    pub fn hear_peer(&mut self, peer: u64, life: Life, told: Told, now_ms: f64) {
-        let known = self.lives.entry(life).or_default();
-        known.said_ms = now_ms;
-        known.limit.hear_sent(peer, told.sent);
-        known.leaves |= told.leaves;
-        if let Some(word) = told.word {
-            known.limit.hear(word, false);
+    /// Applies an update from a peer.
+    pub fn apply_peer_update(
+        &mut self,
+        peer: u64,
+        incarnation: IncarnationHash,
+        update: PeerUpdate,
+        now_ms: f64,
+    ) {
+        let state = self.states.entry(incarnation).or_default();
+        state.last_advice_ms = now_ms;
+        state.limit.record_peer_sent(peer, update.sent_requests);
+        state.is_leaving |= update.is_leaving;
+        if let Some(limit) = update.limit {
+            state.limit.apply_update(limit, false);
         }
     }
 
-    /// What peers are to be told: of all endpoints of which this gateway knows something by itself those that were told longest
-    /// ago, or only those of which something is new. What it was told isn't told further: it would seem newer each time.
-    pub fn take_told(&mut self, is_all: bool, now_ms: f64) -> Vec<(Life, Told)> {
-        let is_due = |known: &Known| is_all || known.told_ms.is_none();
-        let lives = self.lives.iter_mut();
-        let mut due: Vec<(Life, &mut Known)> = lives
-            .filter(|(_, known)| is_due(known) && known.told().is_worth(now_ms))
-            .map(|(life, known)| (*life, known))
+    /// The updates to send to peers, those sent longest ago first: all first-hand state if
+    /// `is_full`, otherwise only what has changed since it was last sent. State that came from
+    /// peers isn't forwarded, since it would look newer each time.
+    pub fn take_peer_updates(
+        &mut self,
+        is_full: bool,
+        now_ms: f64,
+    ) -> Vec<(IncarnationHash, PeerUpdate)> {
+        let is_due = |state: &IncarnationState| is_full || state.sent_to_peers_ms.is_none();
+        let states = self.states.iter_mut();
+        let mut due: Vec<(IncarnationHash, &mut IncarnationState)> = states
+            .filter(|(_, state)| is_due(state) && state.peer_update().is_worth_sending(now_ms))
+            .map(|(incarnation, state)| (*incarnation, state))
             .collect();
-        let told_ms = |known: &Known| known.told_ms.unwrap_or(f64::NEG_INFINITY);
-        due.sort_by(|(a, x), (b, y)| told_ms(x).total_cmp(&told_ms(y)).then(a.cmp(b)));
-        due.truncate(TOLD_MAX);
-        let mut told = Vec::new();
-        for (life, known) in due {
-            known.told_ms = Some(now_ms);
-            told.push((life, known.told()));
+        let sent_to_peers_ms =
+            |state: &IncarnationState| state.sent_to_peers_ms.unwrap_or(f64::NEG_INFINITY);
+        due.sort_by(|(a, x), (b, y)| {
+            sent_to_peers_ms(x)
+                .total_cmp(&sent_to_peers_ms(y))
+                .then(a.cmp(b))
+        });
+        due.truncate(UPDATES_PER_MESSAGE_MAX);
+        let mut updates = Vec::new();
+        for (incarnation, state) in due {
+            state.sent_to_peers_ms = Some(now_ms);
+            updates.push((incarnation, state.peer_update()));
         }
-        told
+        updates
     }
 
     /// Replaces the gateways that share limits.
@@ -204,158 +231,174 @@
         if gateways == self.gateways {
             return;
         }
-        let there: HashSet<u64> = gateways.others.iter().copied().collect();
-        for known in self.lives.values_mut() {
-            known.limit.forget(|gateway| there.contains(&gateway));
+        let present: HashSet<u64> = gateways.others.iter().copied().collect();
+        for state in self.states.values_mut() {
+            state
+                .limit
+                .retain_gateways(|gateway| present.contains(&gateway));
         }
         self.gateways = gateways;
-        self.version += 1;
+        self.allocation_version += 1;
     }
 
-    /// What the clock that gateways share shows, in milliseconds.
+    /// Reading of the clock that the gateways share, in milliseconds.
     pub fn clock_ms(&self, now_ms: f64) -> f64 {
-        self.clock.show_ms(now_ms)
+        self.clock.read_ms(now_ms)
     }
 
-    /// A peer's clock shows so much.
-    pub fn hear_clock(&mut self, shown_ms: f64, now_ms: f64) {
-        if self.clock.hear(shown_ms, now_ms) {
-            self.version += 1;
+    /// Applies the reading of a peer's clock.
+    pub fn observe_peer_clock(&mut self, peer_clock_ms: f64, now_ms: f64) {
+        if self.clock.advance(peer_clock_ms, now_ms) {
+            self.allocation_version += 1;
         }
     }
 
-    /// Those that may not be sent anything now.
-    pub fn shut(&mut self, now_ms: f64) -> Vec<(Life, Shut)> {
-        let lives: Vec<Life> = self.lives.keys().copied().collect();
-        let shut = |life: Life| Some((life, self.look(life, now_ms).err()?));
-        lives.into_iter().filter_map(shut).collect()
+    /// Endpoints to which no request may be sent now.
+    pub fn blocked(&mut self, now_ms: f64) -> Vec<(IncarnationHash, Blocked)> {
+        let incarnations: Vec<IncarnationHash> = self.states.keys().copied().collect();
+        let blocked = |incarnation: IncarnationHash| {
+            Some((incarnation, self.check(incarnation, now_ms).err()?))
+        };
+        incarnations.into_iter().filter_map(blocked).collect()
     }
 
-    /// Permits a request right before it is sent, and counts it. Tells whether peers are to be told.
-    pub fn permit(&mut self, life: Life, now_ms: f64) -> Result<bool, Shut> {
-        self.look(life, now_ms)?;
-        let Some(known) = self.lives.get_mut(&life) else {
+    /// Checks whether a request may be sent right now, and counts it. Returns whether peers should
+    /// be told.
+    pub fn permit(&mut self, incarnation: IncarnationHash, now_ms: f64) -> Result<bool, Blocked> {
+        self.check(incarnation, now_ms)?;
+        let Some(state) = self.states.get_mut(&incarnation) else {
             return Ok(false);
         };
-        if !known.limit.take() {
+        if !state.limit.record_sent() {
             return Ok(false);
         }
-        known.told_ms = None;
+        state.sent_to_peers_ms = None;
         Ok(true)
     }
 
-    fn look(&mut self, life: Life, now_ms: f64) -> Result<(), Shut> {
-        let Some(known) = self.lives.get_mut(&life) else {
+    fn check(&mut self, incarnation: IncarnationHash, now_ms: f64) -> Result<(), Blocked> {
+        let Some(state) = self.states.get_mut(&incarnation) else {
             return Ok(());
         };
-        let scene = Scene {
+        let context = SharingContext {
             gateways: &self.gateways,
-            version: self.version,
-            clock_ms: self.clock.show_ms(now_ms),
+            allocation_version: self.allocation_version,
+            clock_ms: self.clock.read_ms(now_ms),
             now_ms,
             options: &self.options,
         };
-        if known.leaves {
-            return Err(Shut {
-                reason: Reason::Leaving,
-                opens_in_ms: f64::INFINITY,
+        if state.is_leaving {
+            return Err(Blocked {
+                reason: BlockReason::Leaving,
+                blocked_for_ms: f64::INFINITY,
             });
         }
-        if now_ms < known.rest_until_ms {
-            return Err(Shut {
-                reason: Reason::Rest,
-                opens_in_ms: known.rest_until_ms - now_ms,
+        if now_ms < state.backoff_until_ms {
+            return Err(Blocked {
+                reason: BlockReason::Backoff,
+                blocked_for_ms: state.backoff_until_ms - now_ms,
             });
         }
-        let opens_in_ms = known.limit.opens_in_ms(life, &scene);
-        if opens_in_ms > 0.0 {
-            return Err(Shut {
-                reason: Reason::Limit,
-                opens_in_ms,
+        let blocked_for_ms = state.limit.blocked_for_ms(incarnation, &context);
+        if blocked_for_ms > 0.0 {
+            return Err(Blocked {
+                reason: BlockReason::Limit,
+                blocked_for_ms,
             });
         }
         Ok(())
     }
 
-    /// The limit that an endpoint has named and not taken back, in requests a second.
-    pub fn limit_per_s(&self, life: Life) -> Option<f64> {
-        self.lives.get(&life)?.limit.per_s()
+    /// The limit that the endpoint last announced and hasn't removed, in requests per second.
+    pub fn limit_per_s(&self, incarnation: IncarnationHash) -> Option<f64> {
+        self.states.get(&incarnation)?.limit.per_s()
     }
 
-    /// Whether nothing is known of any endpoint.
+    /// Whether there is no state for any endpoint.
     pub fn is_empty(&self) -> bool {
-        self.lives.is_empty()
+        self.states.is_empty()
     }
 
-    /// Forgets, some time after the last word of it, what isn't listed and what asks for nothing any more.
-    pub fn expire(&mut self, now_ms: f64, is_listed: impl Fn(Life) -> bool) {
-        let kept_ms = self.options.kept_ms;
-        self.lives.retain(|life, known| {
-            let is_in_force = known.asks_for_something(now_ms) && is_listed(*life);
-            is_in_force || now_ms - known.said_ms < kept_ms
+    /// Removes endpoints that are no longer listed or have no active backpressure, once
+    /// [`Options::retention_ms`] has passed since their last update.
+    pub fn expire(&mut self, now_ms: f64, is_listed: impl Fn(IncarnationHash) -> bool) {
+        let retention_ms = self.options.retention_ms;
+        self.states.retain(|incarnation, state| {
+            let is_in_force = state.has_active_advice(now_ms) && is_listed(*incarnation);
+            is_in_force || now_ms - state.last_advice_ms < retention_ms
         });
     }
 }
 
-impl Known {
-    /// What peers are to be told.
-    fn told(&self) -> Told {
-        Told {
-            leaves: self.is_leaving_own,
-            ..self.limit.told()
+impl IncarnationState {
+    /// The update to send to peers.
+    fn peer_update(&self) -> PeerUpdate {
+        PeerUpdate {
+            is_leaving: self.is_leaving_first_hand,
+            ..self.limit.peer_update()
         }
     }
 
-    fn asks_for_something(&self, now_ms: f64) -> bool {
-        self.leaves || now_ms < self.rest_until_ms || self.limit.per_s().is_some()
+    fn has_active_advice(&self, now_ms: f64) -> bool {
+        self.is_leaving || now_ms < self.backoff_until_ms || self.limit.per_s().is_some()
     }
 
-    fn hear_limit(&mut self, said: Field<f64>, sent_ms: f64, now_ms: f64) -> Option<News> {
-        let (per_s, at_ms) = match said {
-            Field::Says(per_s) => (Some(per_s), now_ms),
+    fn apply_limit(
+        &mut self,
+        field: Field<f64>,
+        sent_ms: f64,
+        now_ms: f64,
+    ) -> Option<AdviceChange> {
+        let (per_s, at_ms) = match field {
+            Field::Value(per_s) => (Some(per_s), now_ms),
             Field::Absent => (None, sent_ms),
-            Field::Unsaid => return None,
-            Field::Unusable => return self.note_unusable(News::UnusableLimit),
+            Field::Unknown => return None,
+            Field::Invalid => return self.report_invalid(AdviceChange::InvalidLimit),
         };
-        if !self.limit.hear(Word { per_s, at_ms }, true) {
+        if !self.limit.apply_update(LimitUpdate { per_s, at_ms }, true) {
             return None;
         }
-        self.told_ms = None;
-        Some(per_s.map_or(News::Unlimited, News::Limited))
+        self.sent_to_peers_ms = None;
+        Some(per_s.map_or(AdviceChange::Unlimited, AdviceChange::Limited))
     }
 
-    fn hear_leaving(&mut self, said: Field<()>) -> Option<News> {
-        match said {
-            Field::Says(()) if !self.is_leaving_own => {
-                self.leaves = true;
-                self.is_leaving_own = true;
-                self.told_ms = None;
-                Some(News::Leaves)
+    fn apply_leaving(&mut self, field: Field<()>) -> Option<AdviceChange> {
+        match field {
+            Field::Value(()) if !self.is_leaving_first_hand => {
+                self.is_leaving = true;
+                self.is_leaving_first_hand = true;
+                self.sent_to_peers_ms = None;
+                Some(AdviceChange::Leaving)
             }
-            Field::Unusable => self.note_unusable(News::UnusableLeaving),
+            Field::Invalid => self.report_invalid(AdviceChange::InvalidLeaving),
             _ => None,
         }
     }
 
-    /// The rest that ends last counts: an answer that was made before may come later.
-    fn hear_rest(&mut self, said: Field<f64>, rest_max_ms: f64, now_ms: f64) -> Option<News> {
-        match said {
-            Field::Says(rest_ms) if rest_ms > 0.0 => {
-                let rest_ms = rest_ms.min(rest_max_ms);
-                self.rest_until_ms = self.rest_until_ms.max(now_ms + rest_ms);
-                Some(News::WantsRest(rest_ms))
+    /// Keeps the backoff that ends last: responses may arrive out of order.
+    fn apply_backoff(
+        &mut self,
+        field: Field<f64>,
+        backoff_max_ms: f64,
+        now_ms: f64,
+    ) -> Option<AdviceChange> {
+        match field {
+            Field::Value(backoff_ms) if backoff_ms > 0.0 => {
+                let backoff_ms = backoff_ms.min(backoff_max_ms);
+                self.backoff_until_ms = self.backoff_until_ms.max(now_ms + backoff_ms);
+                Some(AdviceChange::BackoffRequested(backoff_ms))
             }
-            Field::Unusable => self.note_unusable(News::UnusableRest),
+            Field::Invalid => self.report_invalid(AdviceChange::InvalidBackoff),
             _ => None,
         }
     }
 
-    /// Tells it the first time.
-    fn note_unusable(&mut self, news: News) -> Option<News> {
-        if self.unusable.contains(&news) {
+    /// Returns the change only the first time.
+    fn report_invalid(&mut self, change: AdviceChange) -> Option<AdviceChange> {
+        if self.reported_invalid.contains(&change) {
             return None;
         }
-        self.unusable.push(news);
-        Some(news)
+        self.reported_invalid.push(change);
+        Some(change)
     }
 }
--- a/crates/mgs-placing/tests/emulator/gateway.rs
+++ b/crates/mgs-placing/tests/emulator/gateway.rs
@@ -6,8 +6,8 @@
 use mgs_backpressure::advice;
 use mgs_backpressure::advice::Advice;
 use mgs_backpressure::share::Gateways;
-use mgs_backpressure::table::Life;
-use mgs_backpressure::table::Table;
+use mgs_backpressure::table::Backpressure;
+use mgs_backpressure::table::IncarnationHash;
 use mgs_fleet::view::EndpointKey;
 use mgs_placing::board::Board;
 use mgs_placing::board::Held;
@@ -139,7 +139,7 @@
     placed: HashMap<usize, Sent>,
     judged: HashMap<usize, Judged>,
     limited: Option<Limited>,
-    limits: Table,
+    limits: Backpressure,
 }
 
 /// What was last found of a prompt that waits for its turn.
@@ -231,7 +231,12 @@
             let first = (draws.unit() * zone_engines as f64) as usize;
             keys[..zone_engines].rotate_left(first);
         }
-        let shut: HashSet<u64> = self.limits.shut(now_ms).iter().map(|(l, _)| l.0).collect();
+        let shut: HashSet<u64> = self
+            .limits
+            .blocked(now_ms)
+            .iter()
+            .map(|(l, _)| l.0)
+            .collect();
         let placed = self.place_among(&keys, &shut, need, model, draw, now_ms);
         let is_on_time = |placed: &Placed| placed.placement.first_token_ms <= need.aim_ms;
         let limited = self.limited;
@@ -412,9 +417,10 @@
 
     fn send(&mut self, emulator: &mut Emulator, prompt: usize, need: &Need, placement: Placement) {
         // Nobody else takes it between choice and dispatch.
-        let taken = self
-            .limits
-            .permit(Life(u64::from(placement.first.0)), emulator.now_ms);
+        let taken = self.limits.permit(
+            IncarnationHash(u64::from(placement.first.0)),
+            emulator.now_ms,
+        );
         assert!(taken.is_ok(), "{taken:?}");
         if let Some(band) = turn::band(need, &emulator.model, &self.turns) {
             self.lengths.sent(band, emulator.now_ms);
@@ -526,8 +532,8 @@
 }
 
 /// The limits that engines have named, at the only gateway.
-fn limits(limited: Option<Limited>) -> Table {
-    let mut table = Table::new(Default::default());
+fn limits(limited: Option<Limited>) -> Backpressure {
+    let mut table = Backpressure::new(Default::default());
     table.set_gateways(Gateways {
         count: Some(1),
         ..Gateways::default()
@@ -536,11 +542,11 @@
         return table;
     };
     let says = Advice {
-        limit_per_s: advice::Field::Says(limited.per_s),
+        limit_per_s: advice::Field::Value(limited.per_s),
         ..Advice::default()
     };
     for engine in 0..limited.engines {
-        table.hear(Life(u64::from(engine)), says, 0.0, 0.0);
+        table.apply_advice(IncarnationHash(u64::from(engine)), says, 0.0, 0.0);
     }
     table
 }
--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -7,13 +7,13 @@
 use std::sync::Arc;
 
 use http::response;
+use mgs_backpressure::peer_update::LimitUpdate;
+use mgs_backpressure::peer_update::PeerUpdate;
 use mgs_backpressure::share::Gateways;
-use mgs_backpressure::table::Life;
-use mgs_backpressure::table::News;
-use mgs_backpressure::table::Reason;
-use mgs_backpressure::table::Shut;
-use mgs_backpressure::told::Told;
-use mgs_backpressure::told::Word;
+use mgs_backpressure::table::AdviceChange;
+use mgs_backpressure::table::BlockReason;
+use mgs_backpressure::table::Blocked;
+use mgs_backpressure::table::IncarnationHash;
 use mgs_fleet::view::EndpointKey;
 use mgs_placing::share::AdviceAt;
 use mgs_placing::share::Beacon;
@@ -32,7 +32,7 @@
 
 /// Endpoints that may not be sent a request now.
 #[derive(Debug, Default)]
-pub(crate) struct ShutEndpoints(HashMap<EndpointKey, Shut>);
+pub(crate) struct ShutEndpoints(HashMap<EndpointKey, Blocked>);
 
 impl ShutEndpoints {
     /// Whether it may get no request of its own.
@@ -43,7 +43,7 @@
     /// Whether nothing at all may be asked of it, not even to help.
     pub(crate) fn bars_help(&self, endpoint: &Endpoint) -> bool {
         let shut = self.0.get(&endpoint.key);
-        shut.is_some_and(|shut| shut.reason.bars_help())
+        shut.is_some_and(|shut| shut.reason.blocks_helpers())
     }
 
     /// The refusal of a request for these endpoints, all of which are shut: its client may come back when the first opens, or
@@ -54,9 +54,9 @@
         request_id: &str,
     ) -> Refusal {
         let shuts = endpoints.into_iter().filter_map(|e| self.0.get(&e.key));
-        let shuts: Vec<&Shut> = shuts.collect();
-        let count = |reason: Reason| shuts.iter().filter(|shut| shut.reason == reason).count();
-        let opens_in_ms = shuts.iter().map(|shut| shut.opens_in_ms);
+        let shuts: Vec<&Blocked> = shuts.collect();
+        let count = |reason: BlockReason| shuts.iter().filter(|shut| shut.reason == reason).count();
+        let opens_in_ms = shuts.iter().map(|shut| shut.blocked_for_ms);
         let opens_in_ms = opens_in_ms.fold(f64::INFINITY, f64::min);
         let retry_after_ms = match opens_in_ms.is_finite() {
             true => (opens_in_ms as u64).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS),
@@ -64,9 +64,9 @@
         };
         log::info!(
             request_id = request_id,
-            leaving = count(Reason::Leaving),
-            resting = count(Reason::Rest),
-            limited = count(Reason::Limit),
+            leaving = count(BlockReason::Leaving),
+            resting = count(BlockReason::Backoff),
+            limited = count(BlockReason::Limit),
             retry_after_ms = retry_after_ms;
             "all endpoints are shut"
         );
@@ -86,7 +86,7 @@
         let advice = self.dialect.advice(ask, head);
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
-        let news = table.hear(life(endpoint), advice, sent_ms, now_ms);
+        let news = table.apply_advice(life(endpoint), advice, sent_ms, now_ms);
         drop(table);
         for news in news {
             self.board_changed.notify_one();
@@ -94,11 +94,11 @@
         }
     }
 
-    fn note_news(&self, endpoint: &Endpoint, ask: &Ask, news: News) {
+    fn note_news(&self, endpoint: &Endpoint, ask: &Ask, news: AdviceChange) {
         self.metrics.advice.inc(news.name());
         let (limit_per_s, rest_ms) = match news {
-            News::Limited(per_s) => (per_s, 0.0),
-            News::WantsRest(rest_ms) => (0.0, rest_ms),
+            AdviceChange::Limited(per_s) => (per_s, 0.0),
+            AdviceChange::BackoffRequested(rest_ms) => (0.0, rest_ms),
             _ => (0.0, 0.0),
         };
         log::info!(
@@ -117,13 +117,13 @@
             return ShutEndpoints::default();
         }
         let by_hash = self.published.endpoint_hashes();
-        let shut = self.backpressure.borrow_mut().shut(self.now_ms());
-        let keyed = |(life, shut): (Life, Shut)| Some((*by_hash.get(&life.0)?, shut));
+        let shut = self.backpressure.borrow_mut().blocked(self.now_ms());
+        let keyed = |(life, shut): (IncarnationHash, Blocked)| Some((*by_hash.get(&life.0)?, shut));
         ShutEndpoints(shut.into_iter().filter_map(keyed).collect())
     }
 
     /// Permits a request to an endpoint right before it is sent, and counts it.
-    pub(crate) fn permit_dispatch(&self, endpoint: &Endpoint) -> Result<(), Shut> {
+    pub(crate) fn permit_dispatch(&self, endpoint: &Endpoint) -> Result<(), Blocked> {
         let mut table = self.backpressure.borrow_mut();
         if table.is_empty() {
             return Ok(());
@@ -148,16 +148,19 @@
     /// What peers are to be told of endpoints.
     pub(crate) fn advice_to_tell(&self, is_whole: bool) -> Vec<AdviceAt> {
         let now_ms = self.now_ms();
-        let told = self.backpressure.borrow_mut().take_told(is_whole, now_ms);
-        let word_at = |word: Word| LimitWord {
+        let told = self
+            .backpressure
+            .borrow_mut()
+            .take_peer_updates(is_whole, now_ms);
+        let word_at = |word: LimitUpdate| LimitWord {
             per_s_thousandths: word.per_s.map(|per_s| (per_s * 1e3) as u64),
             age_ms: (now_ms - word.at_ms).max(0.0) as u32,
         };
-        let advice_at = |(life, told): (Life, Told)| AdviceAt {
+        let advice_at = |(life, told): (IncarnationHash, PeerUpdate)| AdviceAt {
             endpoint: life.0,
-            word: told.word.map(word_at),
-            sent: told.sent,
-            leaves: told.leaves,
+            word: told.limit.map(word_at),
+            sent: told.sent_requests,
+            leaves: told.is_leaving,
         };
         told.into_iter().map(advice_at).collect()
     }
@@ -166,14 +169,14 @@
     pub(crate) fn hear_peer_advice(&self, beacon: &Beacon) {
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
-        table.hear_clock(beacon.clock_ms as f64, now_ms);
+        table.observe_peer_clock(beacon.clock_ms as f64, now_ms);
         for said in &beacon.advice {
-            let told = Told {
-                word: said.word.map(|word| heard_word(&word, now_ms)),
-                sent: said.sent,
-                leaves: said.leaves,
+            let told = PeerUpdate {
+                limit: said.word.map(|word| heard_word(&word, now_ms)),
+                sent_requests: said.sent,
+                is_leaving: said.leaves,
             };
-            table.hear_peer(beacon.from, Life(said.endpoint), told, now_ms);
+            table.apply_peer_update(beacon.from, IncarnationHash(said.endpoint), told, now_ms);
         }
     }
 
@@ -194,25 +197,25 @@
 }
 
 /// A peer's word of a limit, by this process's clock.
-fn heard_word(word: &LimitWord, now_ms: f64) -> Word {
+fn heard_word(word: &LimitWord, now_ms: f64) -> LimitUpdate {
     let per_s = word.per_s_thousandths.map(|per_s| per_s as f64 / 1e3);
     // A limit that was heard while its end was on the way goes before that.
     let on_the_way_ms = if per_s.is_none() { ON_THE_WAY_MS } else { 0 };
     let at_ms = now_ms - f64::from(word.age_ms) - on_the_way_ms as f64;
-    Word { per_s, at_ms }
+    LimitUpdate { per_s, at_ms }
 }
 
 /// A request was placed at an endpoint that has come to be shut meanwhile.
-pub(crate) fn note_shut(ask: &Ask, endpoint: &Endpoint, shut: Shut) {
+pub(crate) fn note_shut(ask: &Ask, endpoint: &Endpoint, shut: Blocked) {
     log::info!(
         request_id = ask.request_id,
         endpoint = endpoint.facts.incarnation.id,
         reason = shut.reason.name(),
-        opens_in_ms = shut.opens_in_ms as u64;
+        opens_in_ms = shut.blocked_for_ms as u64;
         "an endpoint was shut before the dispatch"
     );
 }
 
-fn life(endpoint: &Endpoint) -> Life {
-    Life(endpoint.facts.incarnation.hash_64())
+fn life(endpoint: &Endpoint) -> IncarnationHash {
+    IncarnationHash(endpoint.facts.incarnation.hash_64())
 }
--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use mgs_backpressure::table::Table;
+use mgs_backpressure::table::Backpressure;
 use mgs_fleet::view::EndpointKey;
 use mgs_placing::board::Board;
 use mgs_placing::board::Held;
@@ -71,7 +71,7 @@
     /// Endpoints that refuse to read parts of others' prompts.
     pub(crate) helpers: RefCell<Helpers>,
     /// What endpoints ask of those that send them requests.
-    pub(crate) backpressure: RefCell<Table>,
+    pub(crate) backpressure: RefCell<Backpressure>,
     pub(crate) budget: RefCell<Budget>,
     /// Looks under way whether an endpoint has ended.
     pub(crate) looks: RefCell<Looks>,
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use displaydoc::Display;
-use mgs_backpressure::table::Table;
+use mgs_backpressure::table::Backpressure;
 use mgs_placing::board::Board;
 use mgs_placing::board::ZoneKey;
 use mgs_placing::lengths::Lengths;
@@ -178,7 +178,7 @@
         waiting: RefCell::new(HashMap::new()),
         outliers: Outliers::new(options.outliers),
         helpers: RefCell::new(Helpers::default()),
-        backpressure: RefCell::new(Table::new(options.backpressure.clone())),
+        backpressure: RefCell::new(Backpressure::new(options.backpressure.clone())),
         budget: RefCell::new(Budget::default()),
         looks: RefCell::new(Looks::default()),
         crashes: Crashes::new(options.quarantine.clone()),
