--- a/crates/mgs-quarantine/benches/digest.rs
+++ b/crates/mgs-quarantine/benches/digest.rs
@@ -1,4 +1,4 @@
-//! What a key costs: a digest of the whole body, made once for each request.
+//! Cost of a fingerprint: a digest of the whole body, computed once for each request.
 
 use std::hint::black_box;
 
@@ -7,9 +7,9 @@
 use criterion::BenchmarkId;
 use criterion::Criterion;
 use criterion::Throughput;
-use mgs_quarantine::key::Work;
+use mgs_quarantine::fingerprint::RequestIdentity;
 
-/// Bodies of a short prompt, a long one and a million tokens, in bytes.
+/// Bodies of a short prompt, a long prompt and a prompt of a million tokens, in bytes.
 const BODIES_BYTES: [usize; 3] = [2_000, 100_000, 4_000_000];
 
 fn digest(criterion: &mut Criterion) {
@@ -19,7 +19,7 @@
         group.throughput(Throughput::Bytes(body_bytes as u64));
         let id = BenchmarkId::from_parameter(body_bytes);
         group.bench_with_input(id, &body, |bencher, body| {
-            let work = Work {
+            let request = RequestIdentity {
                 service: "model",
                 host: "shop.example",
                 method: "POST",
@@ -27,7 +27,7 @@
                 caller: "nursery",
                 body,
             };
-            bencher.iter(|| black_box(work).key());
+            bencher.iter(|| black_box(request).fingerprint());
         });
     }
     group.finish();
--- a/crates/mgs-quarantine/src/options.rs
+++ b/crates/mgs-quarantine/src/options.rs
@@ -1,38 +1,42 @@
-//! Settings of holding.
+//! Settings of the quarantine.
 
-/// Settings of holding.
+/// Settings of the quarantine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Crashes after which a work is held. Two would hold a neighbour that is sent again together with what crashed
-    /// its endpoint.
+    /// Crashes after which a fingerprint is held. With two, a request that ran beside the crashing
+    /// one and was retried together with it would be held too.
     pub hold_crashes: usize,
-    /// Time before the last crash under a work in which other ends are looked at, in milliseconds.
-    pub others_ms: f64,
-    /// Other ends in that time, as a share of all endpoints, from which on two more crashes are wanted; one more is
-    /// wanted as soon as there is one: where endpoints end by themselves, some work runs on three of them by
-    /// chance. No more than two, since each is an endpoint lost.
-    pub many_others_share: f64,
-    /// Time after its last crash from which on other ends make no difference to a work that comes again, in milliseconds. What
-    /// only ran beside them has been sent again by then, and has got further.
-    pub settled_ms: f64,
-    /// Crashes after which it is held even if each of its runs got further than an earlier one: a work that crashes
-    /// its endpoint now sooner, now later.
-    pub hold_crashes_in_all: usize,
-    /// Crashes from which on it runs on one endpoint only, the same at each gateway: copies that run at the same
-    /// time crash one together then.
+    /// Time before the last crash under a fingerprint in which unrelated ends of endpoints are
+    /// counted, in milliseconds.
+    pub unrelated_window_ms: f64,
+    /// Unrelated ends in that time, as a share of all endpoints, from which two more crashes are
+    /// required for a hold; one more is required from the first unrelated end on. Where endpoints
+    /// end for other reasons, some request runs on three of them by chance. No more than two are
+    /// added, since each costs an endpoint.
+    pub many_unrelated_share: f64,
+    /// Time after its last crash from which unrelated ends no longer raise the threshold for a
+    /// request that is repeated, in milliseconds. A request that only ran beside the crashing one
+    /// has been retried by then and has made more progress.
+    pub recurrence_ms: f64,
+    /// Crashes after which a fingerprint is held even if each of its runs made more progress than
+    /// an earlier one: a request that crashes its endpoint sooner one time and later another.
+    pub hold_crashes_total: usize,
+    /// Crashes from which a request runs on one endpoint only, the same for all gateways, so that
+    /// copies that run at the same time crash a single endpoint.
     pub confine_crashes: usize,
-    /// Crashes closer than this count once, if they are a part of more crashes at that moment than those under the
-    /// work, in milliseconds: a rack that loses power.
-    pub moment_ms: f64,
-    /// Time from its last crash until a held work is tried once more, in milliseconds. The endpoints are back by then.
+    /// Crashes closer together than this count once if more endpoints ended at that moment than
+    /// those under the fingerprint, in milliseconds: a rack that loses power.
+    pub simultaneous_ms: f64,
+    /// Time from its last crash until a held request gets one trial run, in milliseconds. The
+    /// crashed endpoints have restarted by then.
     pub trial_after_ms: f64,
-    /// Most crashes with which a held work is tried again: with more it has had its trials.
+    /// Most crashes with which a held request gets a trial: with more it already had its trials.
     pub trial_crashes_max: usize,
-    /// How long crashes count under a work that isn't held, in milliseconds.
-    pub kept_ms: f64,
-    /// Most works that are remembered but not held; those with fewest crashes go first.
+    /// How long crashes count under a fingerprint that isn't held, in milliseconds.
+    pub retention_ms: f64,
+    /// Most fingerprints kept that aren't held; those with the fewest crashes are evicted first.
     pub suspects_max: usize,
-    /// Most works that are held; the one whose last crash is longest ago goes first.
+    /// Most fingerprints held; the one with the oldest last crash is evicted first.
     pub held_max: usize,
 }
 
@@ -40,15 +44,15 @@
     fn default() -> Self {
         Self {
             hold_crashes: 3,
-            others_ms: 4_000.0,
-            many_others_share: 0.25,
-            settled_ms: 2_000.0,
-            hold_crashes_in_all: 6,
+            unrelated_window_ms: 4_000.0,
+            many_unrelated_share: 0.25,
+            recurrence_ms: 2_000.0,
+            hold_crashes_total: 6,
             confine_crashes: 2,
-            moment_ms: 50.0,
+            simultaneous_ms: 50.0,
             trial_after_ms: 20_000.0,
             trial_crashes_max: 4,
-            kept_ms: 3_600_000.0,
+            retention_ms: 3_600_000.0,
             suspects_max: 4_096,
             held_max: 16_384,
         }
--- a/crates/mgs-quarantine/src/table.rs
+++ b/crates/mgs-quarantine/src/table.rs
@@ -1,4 +1,4 @@
-//! All that one gateway knows of crashes, and its verdict on a request.
+//! The records of one gateway, and its verdict on a request.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -6,352 +6,387 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::key::WorkKey;
+use crate::fingerprint::Fingerprint;
 use crate::options::Options;
-use crate::record::Bearing;
 use crate::record::Crash;
-use crate::record::Moments;
+use crate::record::CrashStatus;
+use crate::record::RecentEnds;
 use crate::record::Record;
 
-/// Endpoints that a fleet is taken to have before it is known.
-const ENDPOINTS_UNKNOWN: usize = 20;
+/// Size that a fleet is assumed to have until it is known.
+const ASSUMED_ENDPOINTS: usize = 20;
 
-/// What may be done with a request.
+/// How a request may be dispatched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it, or too little.
-    Free,
-    /// It may be what crashes endpoints: it runs on one endpoint only, the same at each gateway.
+    /// To any endpoint.
+    Allowed,
+    /// To one endpoint only, the same for all gateways: the request may be crashing endpoints.
     Confined,
-    /// It is sent nowhere.
+    /// To no endpoint.
     Held,
 }
 
-/// A crash as gateways tell it: by its age, since their clocks differ.
+/// A crash as it is sent to peers and stored. It carries an age, since clocks of gateways differ.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ToldCrash {
+pub struct SharedCrash {
     /// Hash of the incarnation that ended.
     pub incarnation: u64,
-    /// Time since, in milliseconds.
+    /// Time since then, in milliseconds.
     pub age_ms: u32,
-    /// Events that the run had made.
-    pub reached: u32,
-    /// How it bears on the work.
-    pub bearing: Bearing,
+    /// Stream events that the run had produced.
+    #[serde(rename = "reached")]
+    pub events: u32,
+    /// Whether it counts against the request.
+    #[serde(rename = "bearing")]
+    pub status: CrashStatus,
 }
 
-/// What a gateway tells of one work.
+/// A record as it is sent to peers and stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Told {
-    /// The work.
-    pub key: WorkKey,
+pub struct SharedRecord {
+    /// Fingerprint of the request.
+    #[serde(rename = "key")]
+    pub fingerprint: Fingerprint,
     /// Its crashes.
-    pub crashes: Vec<ToldCrash>,
-    /// Whether it was tried once more since it is held.
-    pub was_tried: bool,
-    /// Whether it came again some time after its crashes.
-    pub came_again: bool,
+    pub crashes: Vec<SharedCrash>,
+    /// Whether the request has used the trial run that it gets while it is held.
+    #[serde(rename = "was_tried")]
+    pub trial_taken: bool,
+    /// Whether the request was repeated some time after its crashes.
+    #[serde(rename = "came_again")]
+    pub has_recurred: bool,
 }
 
-/// What a gateway knows.
+/// The records of one gateway, and its verdict on a request.
 ///
 /// ```
-/// use mgs_quarantine::key::WorkKey;
+/// use mgs_quarantine::fingerprint::Fingerprint;
 /// use mgs_quarantine::options::Options;
 /// use mgs_quarantine::table::Quarantine;
 /// use mgs_quarantine::table::Verdict;
 ///
 /// let mut quarantine = Quarantine::new(Options::default());
-/// let work = WorkKey(1);
+/// let fingerprint = Fingerprint(1);
 /// for crash in 0..3_u32 {
-///     assert_ne!(quarantine.verdict(work), Verdict::Held);
-///     quarantine.crashed(work, u64::from(crash), 0, f64::from(crash) * 500.0);
+///     assert_ne!(quarantine.verdict(fingerprint), Verdict::Held);
+///     quarantine.record_crash(fingerprint, u64::from(crash), 0, f64::from(crash) * 500.0);
 /// }
-/// assert_eq!(quarantine.verdict(work), Verdict::Held);
+/// assert_eq!(quarantine.verdict(fingerprint), Verdict::Held);
 /// ```
 #[derive(Debug)]
 pub struct Quarantine {
     options: Options,
-    records: HashMap<WorkKey, Record>,
-    moments: Moments,
-    /// Endpoints of the fleet.
-    endpoints: usize,
-    /// Works that were held when they last changed.
-    held: BTreeSet<WorkKey>,
-    /// Works of which peers have to be told.
-    fresh: BTreeSet<WorkKey>,
-    /// Works that were held or let go since this was last asked.
-    turned: Vec<(WorkKey, bool)>,
+    records: HashMap<Fingerprint, Record>,
+    recent_ends: RecentEnds,
+    /// Number of endpoints in the fleet.
+    endpoint_count: usize,
+    /// Fingerprints that were held when their record last changed.
+    held: BTreeSet<Fingerprint>,
+    /// Fingerprints whose records have to be sent to peers.
+    changed: BTreeSet<Fingerprint>,
+    /// Fingerprints that were held or released since this was last taken.
+    hold_changes: Vec<(Fingerprint, bool)>,
 }
 
 impl Quarantine {
-    /// Nothing known.
+    /// Creates an empty quarantine.
     pub fn new(options: Options) -> Self {
         Self {
-            moments: Moments::new(options.moment_ms),
+            recent_ends: RecentEnds::new(options.simultaneous_ms),
             options,
-            endpoints: ENDPOINTS_UNKNOWN,
+            endpoint_count: ASSUMED_ENDPOINTS,
             records: HashMap::new(),
             held: BTreeSet::new(),
-            fresh: BTreeSet::new(),
-            turned: Vec::new(),
+            changed: BTreeSet::new(),
+            hold_changes: Vec::new(),
         }
     }
 
-    /// The fleet has so many endpoints.
-    pub fn know_endpoints(&mut self, endpoints: usize) {
-        self.endpoints = endpoints;
+    /// Sets the number of endpoints in the fleet.
+    pub fn set_endpoint_count(&mut self, endpoint_count: usize) {
+        self.endpoint_count = endpoint_count;
     }
 
-    /// An endpoint has ended while it ran a work, of which it had made so many events.
-    pub fn crashed(&mut self, key: WorkKey, incarnation: u64, reached: u32, now_ms: f64) {
+    /// Records that an endpoint ended while it ran a request that had produced this number of
+    /// events.
+    pub fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        incarnation: u64,
+        events: u32,
+        now_ms: f64,
+    ) {
         let crash = Crash {
             incarnation,
             at_ms: now_ms,
-            reached,
-            bearing: Bearing::Counts,
+            events,
+            status: CrashStatus::Counts,
         };
-        self.change(key, now_ms, |record| record.add(crash));
+        self.update(fingerprint, now_ms, |record| record.add(crash));
     }
 
-    /// Another endpoint has ended beside the one that ran a work, which had read a part of its prompt. It counts for nothing,
-    /// but isn't an end that has nothing to do with the work either.
-    pub fn crashed_beside(&mut self, key: WorkKey, incarnation: u64, now_ms: f64) {
+    /// Records that a helper, which had read a part of the request's prompt, ended together with
+    /// the endpoint that ran the request. It doesn't count against the request, but isn't an
+    /// unrelated end either.
+    pub fn record_helper_crash(&mut self, fingerprint: Fingerprint, incarnation: u64, now_ms: f64) {
         let crash = Crash {
             incarnation,
             at_ms: now_ms,
-            reached: 0,
-            bearing: Bearing::Cleared,
+            events: 0,
+            status: CrashStatus::Cleared,
         };
-        self.change(key, now_ms, |record| record.add(crash));
+        self.update(fingerprint, now_ms, |record| record.add(crash));
     }
 
-    /// Whether an endpoint is known to have ended under some work.
+    /// Whether an endpoint is known to have ended under some request.
     pub fn has_ended(&self, incarnation: u64) -> bool {
-        self.moments.has_ended(incarnation)
+        self.recent_ends.has_ended(incarnation)
     }
 
-    /// A run of a work has made so many events.
-    pub fn reached(&mut self, key: WorkKey, events: u32, now_ms: f64) {
-        if self.records.contains_key(&key) {
-            self.change(key, now_ms, |record| record.reached(events));
+    /// Records that a run has produced this number of events.
+    pub fn record_progress(&mut self, fingerprint: Fingerprint, events: u32, now_ms: f64) {
+        if self.records.contains_key(&fingerprint) {
+            self.update(fingerprint, now_ms, |record| record.mark_passed(events));
         }
     }
 
-    /// A run of a work has ended whole.
-    pub fn ended_whole(&mut self, key: WorkKey, now_ms: f64) {
-        if self.records.contains_key(&key) {
-            self.change(key, now_ms, Record::ended_whole);
+    /// Records that a run has completed.
+    pub fn record_completion(&mut self, fingerprint: Fingerprint, now_ms: f64) {
+        if self.records.contains_key(&fingerprint) {
+            self.update(fingerprint, now_ms, Record::mark_cleared);
         }
     }
 
-    /// An operator lets a work go: what is known of it counts no more.
-    pub fn lift(&mut self, key: WorkKey, now_ms: f64) {
-        self.ended_whole(key, now_ms);
+    /// Releases a request for an operator: its crashes no longer count.
+    pub fn release(&mut self, fingerprint: Fingerprint, now_ms: f64) {
+        self.record_completion(fingerprint, now_ms);
     }
 
-    /// A request of this work begins; what may be done with it. Where other endpoints ended at the time of its crashes, more of
-    /// them are wanted, but not of what comes again later.
-    pub fn begin(&mut self, key: WorkKey, now_ms: f64) -> Verdict {
-        let has_come_again = |record: &Record| {
-            let is_later = now_ms - record.last_ms() >= self.options.settled_ms;
-            let all = record.counting(&self.moments);
-            is_later && self.unexplained(key, record, all) >= self.options.hold_crashes
+    /// Returns the verdict on a request that arrives. Where unrelated endpoints ended around its
+    /// crashes, more crashes are required for a hold, unless the request is repeated some time
+    /// later.
+    pub fn begin_request(&mut self, fingerprint: Fingerprint, now_ms: f64) -> Verdict {
+        let is_recurrence = |record: &Record| {
+            let is_later = now_ms - record.last_crash_ms() >= self.options.recurrence_ms;
+            let counted = record.counted_crashes(&self.recent_ends);
+            is_later
+                && self.unexplained_crashes(fingerprint, record, counted)
+                    >= self.options.hold_crashes
         };
-        if self.records.get(&key).is_some_and(has_come_again) {
-            self.change(key, now_ms, |record| {
-                let is_new = !record.came_again;
-                record.came_again = true;
+        if self.records.get(&fingerprint).is_some_and(is_recurrence) {
+            self.update(fingerprint, now_ms, |record| {
+                let is_new = !record.has_recurred;
+                record.has_recurred = true;
                 is_new
             });
         }
-        self.verdict(key)
+        self.verdict(fingerprint)
     }
 
-    /// Crashes of a work that no other held work explains, of `all` that count.
-    fn unexplained(&self, key: WorkKey, record: &Record, all: usize) -> usize {
-        let is_explained = |crash: &Crash| self.is_explained(key, all, crash);
-        record.counting_but(&self.moments, is_explained)
+    /// Crashes that no other held request explains, where `counted` is the number of all that
+    /// count.
+    fn unexplained_crashes(
+        &self,
+        fingerprint: Fingerprint,
+        record: &Record,
+        counted: usize,
+    ) -> usize {
+        let is_explained = |crash: &Crash| self.is_explained(fingerprint, counted, crash);
+        record.counted_crashes_except(&self.recent_ends, is_explained)
     }
 
-    /// What may be done with a work.
-    pub fn verdict(&self, key: WorkKey) -> Verdict {
-        match self.records.get(&key) {
-            None => Verdict::Free,
-            Some(record) => self.judge(key, record),
+    /// The verdict on a request.
+    pub fn verdict(&self, fingerprint: Fingerprint) -> Verdict {
+        match self.records.get(&fingerprint) {
+            None => Verdict::Allowed,
+            Some(record) => self.evaluate(fingerprint, record),
         }
     }
 
-    fn judge(&self, key: WorkKey, record: &Record) -> Verdict {
-        let all = record.counting(&self.moments);
-        if all < self.options.confine_crashes {
-            return Verdict::Free;
+    fn evaluate(&self, fingerprint: Fingerprint, record: &Record) -> Verdict {
+        let counted = record.counted_crashes(&self.recent_ends);
+        if counted < self.options.confine_crashes {
+            return Verdict::Allowed;
         }
-        let counting = self.unexplained(key, record, all);
-        let is_held = counting >= self.wanted(record)
-            || record.not_cleared(&self.moments) >= self.options.hold_crashes_in_all;
-        match counting >= self.options.confine_crashes {
+        let unexplained = self.unexplained_crashes(fingerprint, record, counted);
+        let is_held = unexplained >= self.hold_threshold(record)
+            || record.uncleared_crashes(&self.recent_ends) >= self.options.hold_crashes_total;
+        match unexplained >= self.options.confine_crashes {
             _ if is_held => Verdict::Held,
             true => Verdict::Confined,
-            false => Verdict::Free,
+            false => Verdict::Allowed,
         }
     }
 
-    /// Whether another held work explains a crash better: it ran there too, and has crashed more.
-    fn is_explained(&self, key: WorkKey, crashes: usize, crash: &Crash) -> bool {
-        let others = self.held.iter().filter(|other| **other != key);
+    /// Whether another held request is the more likely cause of a crash: it ran on that endpoint
+    /// too, and has more crashes.
+    fn is_explained(&self, fingerprint: Fingerprint, crashes: usize, crash: &Crash) -> bool {
+        let others = self.held.iter().filter(|other| **other != fingerprint);
         let mut others = others.filter_map(|other| self.records.get(other));
-        others.any(|other| other.has(crash.incarnation) && other.counting(&self.moments) > crashes)
+        others.any(|other| {
+            other.has_counted_crash(crash.incarnation)
+                && other.counted_crashes(&self.recent_ends) > crashes
+        })
     }
 
-    /// Crashes after which a work is held, by how many endpoints end without it.
-    fn wanted(&self, record: &Record) -> usize {
-        if record.came_again {
+    /// Crashes required for a hold, depending on how many endpoints ended under other requests.
+    fn hold_threshold(&self, record: &Record) -> usize {
+        if record.has_recurred {
             return self.options.hold_crashes;
         }
-        let last_ms = record.last_ms();
-        let from_ms = last_ms - self.options.others_ms;
-        let others = self.moments.others(&record.crashes, from_ms, last_ms);
-        let share = others as f64 / self.endpoints.max(1) as f64;
-        let more = match others {
+        let last_crash_ms = record.last_crash_ms();
+        let from_ms = last_crash_ms - self.options.unrelated_window_ms;
+        let unrelated = self
+            .recent_ends
+            .unrelated_ends(&record.crashes, from_ms, last_crash_ms);
+        let share = unrelated as f64 / self.endpoint_count.max(1) as f64;
+        let additional = match unrelated {
             0 => 0,
-            _ if share < self.options.many_others_share => 1,
+            _ if share < self.options.many_unrelated_share => 1,
             _ => 2,
         };
-        self.options.hold_crashes + more
+        self.options.hold_crashes + additional
     }
 
-    /// Takes the one trial that a held work has, some time after its last crash; answers whether there is one. Peers
-    /// are told that it is taken.
-    pub fn take_trial(&mut self, key: WorkKey, now_ms: f64) -> bool {
-        let Some(record) = self.records.get(&key) else {
+    /// Takes the one trial run that a held request gets some time after its last crash. Returns
+    /// whether it gets one now. Peers are told that it is taken.
+    pub fn take_trial(&mut self, fingerprint: Fingerprint, now_ms: f64) -> bool {
+        let Some(record) = self.records.get(&fingerprint) else {
             return false;
         };
-        let is_due = now_ms - record.last_ms() >= self.options.trial_after_ms;
-        let is_clear = record.crashes.len() > self.options.trial_crashes_max;
-        if record.was_tried || is_clear || !is_due {
+        let is_due = now_ms - record.last_crash_ms() >= self.options.trial_after_ms;
+        let has_exhausted_trials = record.crashes.len() > self.options.trial_crashes_max;
+        if record.trial_taken || has_exhausted_trials || !is_due {
             return false;
         }
-        self.change(key, now_ms, |record| {
-            record.was_tried = true;
+        self.update(fingerprint, now_ms, |record| {
+            record.trial_taken = true;
             true
         });
         true
     }
 
-    /// What is known of a work.
-    pub fn record(&self, key: WorkKey) -> Option<&Record> {
-        self.records.get(&key)
+    /// The record of a fingerprint.
+    pub fn record(&self, fingerprint: Fingerprint) -> Option<&Record> {
+        self.records.get(&fingerprint)
     }
 
-    /// Works that are held.
-    pub fn held(&self) -> &BTreeSet<WorkKey> {
+    /// Fingerprints that are held.
+    pub fn held(&self) -> &BTreeSet<Fingerprint> {
         &self.held
     }
 
-    /// How many works are remembered.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// All works that are remembered.
-    pub fn keys(&self) -> Vec<WorkKey> {
-        let mut keys: Vec<WorkKey> = self.records.keys().copied().collect();
-        keys.sort();
-        keys
+    /// All fingerprints with a record.
+    pub fn fingerprints(&self) -> Vec<Fingerprint> {
+        let mut fingerprints: Vec<Fingerprint> = self.records.keys().copied().collect();
+        fingerprints.sort();
+        fingerprints
     }
 
-    /// Takes what a peer, or the store, tells. Peers aren't told of it again: whoever saw it tells all.
-    pub fn hear(&mut self, told: &Told, now_ms: f64) {
-        let crash = |told: &ToldCrash| Crash {
-            incarnation: told.incarnation,
-            at_ms: now_ms - f64::from(told.age_ms),
-            reached: told.reached,
-            bearing: told.bearing,
+    /// Merges a record from a peer or from the store. It isn't forwarded to peers: the gateway that
+    /// saw the crash sends it to all.
+    pub fn merge_shared(&mut self, shared: &SharedRecord, now_ms: f64) {
+        let crash = |shared: &SharedCrash| Crash {
+            incarnation: shared.incarnation,
+            at_ms: now_ms - f64::from(shared.age_ms),
+            events: shared.events,
+            status: shared.status,
         };
         let other = Record {
-            crashes: told.crashes.iter().map(crash).collect(),
-            was_tried: told.was_tried,
-            came_again: told.came_again,
+            crashes: shared.crashes.iter().map(crash).collect(),
+            trial_taken: shared.trial_taken,
+            has_recurred: shared.has_recurred,
         };
-        let was_fresh = self.fresh.contains(&told.key);
-        self.change(told.key, now_ms, |record| record.merge(&other));
-        if !was_fresh {
-            self.fresh.remove(&told.key);
+        let was_changed = self.changed.contains(&shared.fingerprint);
+        self.update(shared.fingerprint, now_ms, |record| record.merge(&other));
+        if !was_changed {
+            self.changed.remove(&shared.fingerprint);
         }
     }
 
-    /// What to tell of a work.
-    pub fn told(&self, key: WorkKey, now_ms: f64) -> Option<Told> {
-        let record = self.records.get(&key)?;
-        let crash = |crash: &Crash| ToldCrash {
+    /// The record to send to peers and to store.
+    pub fn shared_record(&self, fingerprint: Fingerprint, now_ms: f64) -> Option<SharedRecord> {
+        let record = self.records.get(&fingerprint)?;
+        let crash = |crash: &Crash| SharedCrash {
             incarnation: crash.incarnation,
             age_ms: (now_ms - crash.at_ms).max(0.0) as u32,
-            reached: crash.reached,
-            bearing: crash.bearing,
+            events: crash.events,
+            status: crash.status,
         };
-        Some(Told {
-            key,
+        Some(SharedRecord {
+            fingerprint,
             crashes: record.crashes.iter().map(crash).collect(),
-            was_tried: record.was_tried,
-            came_again: record.came_again,
+            trial_taken: record.trial_taken,
+            has_recurred: record.has_recurred,
         })
     }
 
-    /// Works of which something is new here since this was last asked.
-    pub fn take_fresh(&mut self) -> Vec<WorkKey> {
-        std::mem::take(&mut self.fresh).into_iter().collect()
+    /// Takes the fingerprints whose records have changed here since the last call.
+    pub fn take_changed(&mut self) -> Vec<Fingerprint> {
+        std::mem::take(&mut self.changed).into_iter().collect()
     }
 
-    /// Works that were held (`true`) or let go since this was last asked.
-    pub fn take_turned(&mut self) -> Vec<(WorkKey, bool)> {
-        std::mem::take(&mut self.turned)
+    /// Takes the fingerprints that were held (`true`) or released since the last call.
+    pub fn take_hold_changes(&mut self) -> Vec<(Fingerprint, bool)> {
+        std::mem::take(&mut self.hold_changes)
     }
 
-    fn change(&mut self, key: WorkKey, now_ms: f64, change: impl FnOnce(&mut Record) -> bool) {
-        let record = self.records.entry(key).or_default();
-        if !change(record) {
+    fn update(
+        &mut self,
+        fingerprint: Fingerprint,
+        now_ms: f64,
+        apply: impl FnOnce(&mut Record) -> bool,
+    ) {
+        let record = self.records.entry(fingerprint).or_default();
+        if !apply(record) {
             return;
         }
         for crash in &record.crashes {
-            if crash.bearing != Bearing::Cleared {
-                self.moments.ended(crash.incarnation, crash.at_ms);
+            if crash.status != CrashStatus::Cleared {
+                self.recent_ends.record_end(crash.incarnation, crash.at_ms);
             }
         }
-        self.fresh.insert(key);
-        self.note_turn(key);
+        self.changed.insert(fingerprint);
+        self.update_hold(fingerprint);
         if self.records.len() > 2 * (self.options.suspects_max + self.options.held_max) {
-            self.tidy(now_ms);
+            self.prune(now_ms);
         }
     }
 
-    /// Takes note if a work is held now and wasn't, or the other way round.
-    fn note_turn(&mut self, key: WorkKey) {
-        let is_held = self.verdict(key) == Verdict::Held;
-        let is_turned = match is_held {
-            true => self.held.insert(key),
-            false => self.held.remove(&key),
+    /// Records whether a fingerprint became held or was released.
+    fn update_hold(&mut self, fingerprint: Fingerprint) {
+        let is_held = self.verdict(fingerprint) == Verdict::Held;
+        let has_changed = match is_held {
+            true => self.held.insert(fingerprint),
+            false => self.held.remove(&fingerprint),
         };
-        if is_turned {
-            self.turned.push((key, is_held));
+        if has_changed {
+            self.hold_changes.push((fingerprint, is_held));
         }
     }
 
-    /// Forgets what is old, and what bears least where there is too much; never a hold for the sake of what isn't held.
-    /// To be called a few times a second: endpoints that ended at the same moment as others may only be heard of later.
-    pub fn tidy(&mut self, now_ms: f64) {
-        for key in self.held.clone() {
-            self.note_turn(key);
+    /// Removes old crashes, and the least relevant records where there are too many; a held record
+    /// is never evicted in favour of one that isn't held. To be called a few times a second, since
+    /// further ends at the moment of a crash may only be learned later.
+    pub fn prune(&mut self, now_ms: f64) {
+        for fingerprint in self.held.clone() {
+            self.update_hold(fingerprint);
         }
-        let known_from_ms = self.moments.forget(now_ms - self.options.kept_ms);
+        let known_from_ms = self.recent_ends.prune(now_ms - self.options.retention_ms);
         let held = &self.held;
-        self.records.retain(|key, record| {
-            if held.contains(key) {
+        self.records.retain(|fingerprint, record| {
+            if held.contains(fingerprint) {
                 return true;
             }
             let crashes = &mut record.crashes;
@@ -359,29 +394,36 @@
             !crashes.is_empty()
         });
         let (suspects_max, held_max) = (self.options.suspects_max, self.options.held_max);
-        self.drop_least(suspects_max, false);
-        self.drop_least(held_max, true);
+        self.evict(suspects_max, false);
+        self.evict(held_max, true);
     }
 
-    /// Drops works beyond `most` among those that are held, or among the others: those with fewest crashes that count,
-    /// then the oldest.
-    fn drop_least(&mut self, most: usize, is_held: bool) {
-        let concerned = |key: &WorkKey| self.held.contains(key) == is_held;
-        let keys = self.records.keys().filter(|key| concerned(key));
-        let mut ranked: Vec<(usize, f64, WorkKey)> = Vec::new();
-        let count = keys.clone().count();
+    /// Evicts records beyond `most` among those that are held, or among the others: those with the
+    /// fewest counted crashes first, then the oldest.
+    fn evict(&mut self, most: usize, is_held: bool) {
+        let is_candidate = |fingerprint: &Fingerprint| self.held.contains(fingerprint) == is_held;
+        let candidates = self
+            .records
+            .keys()
+            .filter(|fingerprint| is_candidate(fingerprint));
+        let mut ranked: Vec<(usize, f64, Fingerprint)> = Vec::new();
+        let count = candidates.clone().count();
         if count <= most {
             return;
         }
-        for key in keys {
-            let record = &self.records[key];
-            ranked.push((record.counting(&self.moments), record.last_ms(), *key));
+        for fingerprint in candidates {
+            let record = &self.records[fingerprint];
+            ranked.push((
+                record.counted_crashes(&self.recent_ends),
+                record.last_crash_ms(),
+                *fingerprint,
+            ));
         }
         ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        for (_, _, key) in ranked.into_iter().take(count - most) {
-            self.records.remove(&key);
-            self.fresh.remove(&key);
-            self.held.remove(&key);
+        for (_, _, fingerprint) in ranked.into_iter().take(count - most) {
+            self.records.remove(&fingerprint);
+            self.changed.remove(&fingerprint);
+            self.held.remove(&fingerprint);
         }
     }
 }
--- a/crates/mgs-quarantine/tests/table.rs
+++ b/crates/mgs-quarantine/tests/table.rs
@@ -1,11 +1,12 @@
-//! What holds a work and what lets it go, and that gateways agree whatever they hear in which order.
+//! Checks when requests are held and released, and that gateways converge in whatever order they
+//! merge records.
 
 use std::collections::BTreeSet;
 
-use mgs_quarantine::key::WorkKey;
+use mgs_quarantine::fingerprint::Fingerprint;
 use mgs_quarantine::options::Options;
 use mgs_quarantine::table::Quarantine;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::table::SharedRecord;
 use mgs_quarantine::table::Verdict;
 use proptest::prelude::any;
 use proptest::prelude::prop;
@@ -17,205 +18,230 @@
 use proptest::test_runner::TestRunner;
 use rstest::rstest;
 
-const WORK: WorkKey = WorkKey(7);
-const OTHER: WorkKey = WorkKey(8);
+const REQUEST: Fingerprint = Fingerprint(7);
+const OTHER_REQUEST: Fingerprint = Fingerprint(8);
 
-fn none() -> Quarantine {
+fn empty() -> Quarantine {
     Quarantine::new(Options::default())
 }
 
-/// Crashes under a work, each of another endpoint, a second apart.
-fn crashed(times: u64) -> Quarantine {
-    let mut quarantine = none();
+/// Crashes under a fingerprint, each of another endpoint, one second apart.
+fn crashed_times(times: u64) -> Quarantine {
+    let mut quarantine = empty();
     for crash in 0..times {
-        quarantine.crashed(WORK, crash, 0, crash as f64 * 1_000.0);
+        quarantine.record_crash(REQUEST, crash, 0, crash as f64 * 1_000.0);
     }
     quarantine
 }
 
 #[rstest]
-#[case::once(1, Verdict::Free)]
+#[case::once(1, Verdict::Allowed)]
 #[case::twice(2, Verdict::Confined)]
 #[case::three_times(3, Verdict::Held)]
-fn each_crash_makes_the_verdict_graver(#[case] times: u64, #[case] verdict: Verdict) {
-    assert_eq!(crashed(times).verdict(WORK), verdict);
-    assert_eq!(crashed(times).verdict(OTHER), Verdict::Free);
+fn each_crash_makes_the_verdict_stricter(#[case] times: u64, #[case] verdict: Verdict) {
+    assert_eq!(crashed_times(times).verdict(REQUEST), verdict);
+    assert_eq!(
+        crashed_times(times).verdict(OTHER_REQUEST),
+        Verdict::Allowed
+    );
 }
 
 #[test]
-fn the_same_endpoint_counts_once_whoever_sees_its_end() {
-    let mut quarantine = none();
-    for seen in 0..5 {
-        quarantine.crashed(WORK, 1, 0, f64::from(seen));
+fn an_endpoint_counts_once_however_often_its_end_is_seen() {
+    let mut quarantine = empty();
+    for at_ms in 0..5 {
+        quarantine.record_crash(REQUEST, 1, 0, f64::from(at_ms));
     }
-    assert_eq!(quarantine.verdict(WORK), Verdict::Free);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Allowed);
 }
 
 #[test]
-fn a_run_that_ends_whole_speaks_for_its_work() {
-    let mut quarantine = crashed(3);
-    quarantine.ended_whole(WORK, 3_000.0);
-    assert_eq!(quarantine.verdict(WORK), Verdict::Free);
-    assert_eq!(quarantine.take_turned(), [(WORK, true), (WORK, false)]);
+fn a_completed_run_releases_the_request() {
+    let mut quarantine = crashed_times(3);
+    quarantine.record_completion(REQUEST, 3_000.0);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Allowed);
+    assert_eq!(
+        quarantine.take_hold_changes(),
+        [(REQUEST, true), (REQUEST, false)]
+    );
 }
 
-/// Another version of an engine may crash by what an earlier one served.
+/// A new engine version may crash on a request that an earlier version completed.
 #[test]
-fn crashes_after_a_whole_run_count_anew() {
-    let mut quarantine = none();
-    quarantine.crashed(WORK, 0, 0, 0.0);
-    quarantine.ended_whole(WORK, 10.0);
+fn crashes_after_a_completed_run_count_again() {
+    let mut quarantine = empty();
+    quarantine.record_crash(REQUEST, 0, 0, 0.0);
+    quarantine.record_completion(REQUEST, 10.0);
     for crash in 1..4_u32 {
-        quarantine.crashed(WORK, u64::from(crash), 0, f64::from(crash) * 1_000.0);
+        quarantine.record_crash(REQUEST, u64::from(crash), 0, f64::from(crash) * 1_000.0);
     }
-    assert_eq!(quarantine.verdict(WORK), Verdict::Held);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Held);
 }
 
 #[test]
-fn a_stream_that_gets_further_each_time_is_not_held_by_three_crashes() {
-    let mut quarantine = none();
+fn a_stream_that_makes_more_progress_each_time_is_not_held_after_three_crashes() {
+    let mut quarantine = empty();
     for crash in 0..3_u32 {
-        quarantine.reached(WORK, crash * 5, f64::from(crash) * 1_000.0);
-        quarantine.crashed(
-            WORK,
+        quarantine.record_progress(REQUEST, crash * 5, f64::from(crash) * 1_000.0);
+        quarantine.record_crash(
+            REQUEST,
             u64::from(crash),
             crash * 5,
             f64::from(crash) * 1_000.0,
         );
     }
-    assert_eq!(quarantine.verdict(WORK), Verdict::Free);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Allowed);
 }
 
 #[test]
-fn a_work_that_crashes_now_sooner_and_now_later_is_held_in_the_end() {
-    let mut quarantine = none();
-    for (crash, reached) in [3, 9, 5, 11, 2, 7].into_iter().enumerate() {
+fn a_request_that_crashes_at_varying_progress_is_eventually_held() {
+    let mut quarantine = empty();
+    for (crash, events) in [3, 9, 5, 11, 2, 7].into_iter().enumerate() {
         let at_ms = crash as f64 * 1_000.0;
-        quarantine.reached(WORK, reached, at_ms);
-        quarantine.crashed(WORK, crash as u64, reached, at_ms);
+        quarantine.record_progress(REQUEST, events, at_ms);
+        quarantine.record_crash(REQUEST, crash as u64, events, at_ms);
     }
-    assert_eq!(quarantine.verdict(WORK), Verdict::Held);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Held);
 }
 
-/// A rack loses power: seven endpoints end at once, and a much used path ran on three of them.
+/// A rack loses power: seven endpoints end at once, and an often used path ran on three of them.
 #[test]
-fn endpoints_that_end_together_without_the_work_make_one_crash() {
-    let mut quarantine = none();
+fn simultaneous_ends_that_include_other_endpoints_count_once() {
+    let mut quarantine = empty();
     for endpoint in 0..7_u32 {
-        let work = if endpoint < 3 { WORK } else { OTHER };
-        quarantine.crashed(work, u64::from(endpoint), 0, f64::from(endpoint));
+        let fingerprint = if endpoint < 3 { REQUEST } else { OTHER_REQUEST };
+        quarantine.record_crash(fingerprint, u64::from(endpoint), 0, f64::from(endpoint));
     }
-    assert_eq!(quarantine.verdict(WORK), Verdict::Free);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Allowed);
 }
 
-/// Copies of a request that are sent at once crash their endpoints at once, and nothing else ends.
+/// Copies of a request that are sent at once crash their endpoints at once, and no other endpoint
+/// ends.
 #[test]
-fn endpoints_that_end_together_with_the_work_on_each_count_each() {
-    let mut quarantine = none();
+fn simultaneous_ends_of_endpoints_that_all_ran_the_request_count_each() {
+    let mut quarantine = empty();
     for endpoint in 0..3_u32 {
-        quarantine.crashed(WORK, u64::from(endpoint), 0, f64::from(endpoint));
-        quarantine.crashed(OTHER, u64::from(endpoint), 2, f64::from(endpoint));
-        quarantine.reached(OTHER, 3, 100.0);
+        quarantine.record_crash(REQUEST, u64::from(endpoint), 0, f64::from(endpoint));
+        quarantine.record_crash(OTHER_REQUEST, u64::from(endpoint), 2, f64::from(endpoint));
+        quarantine.record_progress(OTHER_REQUEST, 3, 100.0);
     }
-    assert_eq!(quarantine.verdict(WORK), Verdict::Held);
-    assert_eq!(quarantine.verdict(OTHER), Verdict::Free);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Held);
+    assert_eq!(quarantine.verdict(OTHER_REQUEST), Verdict::Allowed);
 }
 
-/// What comes again some time later, and hasn't got any further meanwhile, isn't a neighbour.
+/// A request that is repeated some time later without more progress isn't one that only ran beside
+/// the crashing one.
 #[test]
-fn other_ends_make_no_difference_to_what_comes_again_later() {
+fn unrelated_ends_do_not_raise_the_threshold_for_a_later_repetition() {
     let options = Options::default();
-    let mut quarantine = none();
-    quarantine.crashed(OTHER, 100, 0, 1_500.0);
+    let mut quarantine = empty();
+    quarantine.record_crash(OTHER_REQUEST, 100, 0, 1_500.0);
     for crash in 0..3_u64 {
-        quarantine.crashed(WORK, crash, 0, 1_600.0 + crash as f64 * 100.0);
+        quarantine.record_crash(REQUEST, crash, 0, 1_600.0 + crash as f64 * 100.0);
     }
-    assert_eq!(quarantine.begin(WORK, 1_900.0), Verdict::Confined);
-    let later_ms = 1_800.0 + options.settled_ms;
-    assert_eq!(quarantine.begin(WORK, later_ms), Verdict::Held);
-    // A peer that hears of it holds it too.
-    let told = quarantine.told(WORK, later_ms).expect("it is known");
-    let mut peer = none();
-    peer.hear(&told, later_ms);
-    assert_eq!(peer.verdict(WORK), Verdict::Held);
+    assert_eq!(
+        quarantine.begin_request(REQUEST, 1_900.0),
+        Verdict::Confined
+    );
+    let later_ms = 1_800.0 + options.recurrence_ms;
+    assert_eq!(quarantine.begin_request(REQUEST, later_ms), Verdict::Held);
+    // A peer that gets the record holds the request too.
+    let shared = quarantine
+        .shared_record(REQUEST, later_ms)
+        .expect("the record exists");
+    let mut peer = empty();
+    peer.merge_shared(&shared, later_ms);
+    assert_eq!(peer.verdict(REQUEST), Verdict::Held);
 }
 
-/// The engines that read parts of a long prompt end with the one that writes.
+/// The engines that read parts of a long prompt end together with the one that generates.
 #[test]
-fn what_ended_beside_the_writer_makes_one_crash_and_no_other_end() {
-    let mut quarantine = none();
+fn helpers_that_end_with_the_writer_are_one_crash_and_no_unrelated_ends() {
+    let mut quarantine = empty();
     for crash in 0..3_u64 {
         let at_ms = crash as f64 * 1_000.0;
         for helper in 0..4_u64 {
             let incarnation = 10 * (crash + 1) + helper;
-            quarantine.crashed(OTHER, incarnation, 3, at_ms);
-            quarantine.crashed_beside(WORK, incarnation, at_ms);
+            quarantine.record_crash(OTHER_REQUEST, incarnation, 3, at_ms);
+            quarantine.record_helper_crash(REQUEST, incarnation, at_ms);
         }
-        quarantine.reached(OTHER, 4, at_ms);
-        assert_ne!(quarantine.verdict(WORK), Verdict::Held, "after {crash}");
-        quarantine.crashed(WORK, crash, 0, at_ms);
+        quarantine.record_progress(OTHER_REQUEST, 4, at_ms);
+        assert_ne!(quarantine.verdict(REQUEST), Verdict::Held, "after {crash}");
+        quarantine.record_crash(REQUEST, crash, 0, at_ms);
     }
-    assert_eq!(quarantine.verdict(WORK), Verdict::Held);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Held);
 }
 
-/// What was on each endpoint that another work crashed is its neighbour, if that other one has crashed more.
+/// A request that ran on each endpoint crashed by another one isn't the cause if the other one has
+/// more crashes.
 #[test]
-fn crashes_that_another_held_work_explains_do_not_count() {
-    let mut quarantine = crashed(3);
+fn crashes_that_another_held_request_explains_do_not_count() {
+    let mut quarantine = crashed_times(3);
     for crash in 0..3_u64 {
-        quarantine.crashed(OTHER, crash, 0, crash as f64 * 1_000.0);
+        quarantine.record_crash(OTHER_REQUEST, crash, 0, crash as f64 * 1_000.0);
     }
-    quarantine.crashed(WORK, 3, 0, 3_000.0);
-    assert_eq!(quarantine.verdict(WORK), Verdict::Held);
-    assert_eq!(quarantine.verdict(OTHER), Verdict::Free);
+    quarantine.record_crash(REQUEST, 3, 0, 3_000.0);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Held);
+    assert_eq!(quarantine.verdict(OTHER_REQUEST), Verdict::Allowed);
 }
 
-/// Where endpoints end by themselves, some work runs on three of them by chance.
+/// Where endpoints end for other reasons, some request runs on three of them by chance.
 #[rstest]
-#[case::none_else(0, 3)]
-#[case::one_else(1, 4)]
+#[case::no_unrelated_end(0, 3)]
+#[case::one_unrelated_end(1, 4)]
 #[case::a_third_of_the_fleet(7, 5)]
-fn more_crashes_are_wanted_where_other_endpoints_end(#[case] others: u64, #[case] wanted: u64) {
-    let mut quarantine = none();
+fn more_crashes_are_required_where_unrelated_endpoints_end(
+    #[case] others: u64,
+    #[case] required_crashes: u64,
+) {
+    let mut quarantine = empty();
     for other in 0..others {
-        quarantine.crashed(OTHER, 100 + other, other as u32, other as f64 * 100.0);
-        quarantine.reached(OTHER, other as u32 + 1, other as f64 * 100.0);
+        quarantine.record_crash(
+            OTHER_REQUEST,
+            100 + other,
+            other as u32,
+            other as f64 * 100.0,
+        );
+        quarantine.record_progress(OTHER_REQUEST, other as u32 + 1, other as f64 * 100.0);
     }
-    for crash in 0..wanted {
-        assert_ne!(quarantine.verdict(WORK), Verdict::Held, "after {crash}");
-        quarantine.crashed(WORK, crash, 0, 2_000.0 + crash as f64 * 200.0);
+    for crash in 0..required_crashes {
+        assert_ne!(quarantine.verdict(REQUEST), Verdict::Held, "after {crash}");
+        quarantine.record_crash(REQUEST, crash, 0, 2_000.0 + crash as f64 * 200.0);
     }
-    assert_eq!(quarantine.verdict(WORK), Verdict::Held);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Held);
 }
 
 #[test]
-fn a_held_work_is_tried_once_and_not_soon() {
+fn a_held_request_gets_one_trial_after_a_delay() {
     let options = Options::default();
-    let mut quarantine = crashed(3);
-    assert!(!quarantine.take_trial(WORK, 2_000.0));
+    let mut quarantine = crashed_times(3);
+    assert!(!quarantine.take_trial(REQUEST, 2_000.0));
     let due_ms = 2_000.0 + options.trial_after_ms;
-    assert!(quarantine.take_trial(WORK, due_ms));
-    assert!(!quarantine.take_trial(WORK, due_ms + 1e9));
-    // Nor is it by a peer that has heard of that trial.
-    let told = quarantine.told(WORK, due_ms).expect("it is known");
-    let mut peer = crashed(3);
-    peer.hear(&told, due_ms);
-    assert!(!peer.take_trial(WORK, due_ms + 1e9));
+    assert!(quarantine.take_trial(REQUEST, due_ms));
+    assert!(!quarantine.take_trial(REQUEST, due_ms + 1e9));
+    // A peer that gets the record of the trial grants none either.
+    let shared = quarantine
+        .shared_record(REQUEST, due_ms)
+        .expect("the record exists");
+    let mut peer = crashed_times(3);
+    peer.merge_shared(&shared, due_ms);
+    assert!(!peer.take_trial(REQUEST, due_ms + 1e9));
 }
 
 #[test]
-fn what_is_not_held_is_forgotten_and_what_is_held_is_not() {
+fn old_records_are_removed_unless_they_are_held() {
     let options = Options::default();
-    let mut quarantine = crashed(3);
-    quarantine.crashed(OTHER, 9, 0, 2_500.0);
-    quarantine.tidy(options.kept_ms * 10.0);
-    assert_eq!(quarantine.verdict(WORK), Verdict::Held);
+    let mut quarantine = crashed_times(3);
+    quarantine.record_crash(OTHER_REQUEST, 9, 0, 2_500.0);
+    quarantine.prune(options.retention_ms * 10.0);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Held);
     assert_eq!(quarantine.len(), 1);
 }
 
-/// Thousands of different requests on endpoints that end must fill no memory, and not push out what is held.
+/// Thousands of different requests on endpoints that end must neither exhaust memory nor evict held
+/// ones.
 #[test]
-fn the_weakest_goes_first_under_pressure() {
+fn the_least_relevant_records_are_evicted_first() {
     let options = Options {
         suspects_max: 100,
         held_max: 2,
@@ -223,33 +249,33 @@
     };
     let mut quarantine = Quarantine::new(options);
     for crash in 0..3_u64 {
-        quarantine.crashed(WORK, crash, 0, crash as f64 * 1_000.0);
+        quarantine.record_crash(REQUEST, crash, 0, crash as f64 * 1_000.0);
     }
     for crash in 0..2_u64 {
-        quarantine.crashed(OTHER, 50 + crash, 0, 3_000.0 + crash as f64 * 100.0);
+        quarantine.record_crash(OTHER_REQUEST, 50 + crash, 0, 3_000.0 + crash as f64 * 100.0);
     }
     for other in 1_600..10_000_u64 {
         // Many share an endpoint.
-        let key = WorkKey(u128::from(other));
-        quarantine.crashed(key, other / 16, 0, 4_000.0 + other as f64);
+        let fingerprint = Fingerprint(u128::from(other));
+        quarantine.record_crash(fingerprint, other / 16, 0, 4_000.0 + other as f64);
     }
-    quarantine.tidy(20_000.0);
+    quarantine.prune(20_000.0);
     assert_eq!(quarantine.len(), 101);
-    assert_eq!(quarantine.verdict(WORK), Verdict::Held);
-    assert_eq!(quarantine.verdict(OTHER), Verdict::Confined);
+    assert_eq!(quarantine.verdict(REQUEST), Verdict::Held);
+    assert_eq!(quarantine.verdict(OTHER_REQUEST), Verdict::Confined);
 }
 
-/// Something that one gateway sees.
+/// Something that one gateway observes.
 #[derive(Debug, Clone)]
-enum Sight {
+enum Observation {
     Crash {
         incarnation: u64,
-        reached: u32,
+        events: u32,
     },
-    Reached(u32),
-    Whole,
-    /// It tells another gateway, whom the message reaches so many times.
-    Tells {
+    Progress(u32),
+    Completed,
+    /// Sends the record to another gateway, which receives it this many times.
+    Shares {
         to: usize,
         times: usize,
     },
@@ -257,107 +283,110 @@
 
 const GATEWAYS: usize = 3;
 
-fn sight() -> impl Strategy<Value = Sight> {
+fn observation() -> impl Strategy<Value = Observation> {
     prop_oneof![
-        4 => (0..6_u64, 0..4_u32).prop_map(|(incarnation, reached)| Sight::Crash { incarnation, reached }),
-        1 => (0..4_u32).prop_map(Sight::Reached),
-        1 => any::<()>().prop_map(|()| Sight::Whole),
-        4 => (0..GATEWAYS, 0..3_usize).prop_map(|(to, times)| Sight::Tells { to, times }),
+        4 => (0..6_u64, 0..4_u32).prop_map(|(incarnation, events)| Observation::Crash { incarnation, events }),
+        1 => (0..4_u32).prop_map(Observation::Progress),
+        1 => any::<()>().prop_map(|()| Observation::Completed),
+        4 => (0..GATEWAYS, 0..3_usize).prop_map(|(to, times)| Observation::Shares { to, times }),
     ]
 }
 
-fn history() -> impl Strategy<Value = Vec<(usize, Sight)>> {
-    prop::collection::vec((0..GATEWAYS, sight()), 0..40)
+fn history() -> impl Strategy<Value = Vec<(usize, Observation)>> {
+    prop::collection::vec((0..GATEWAYS, observation()), 0..40)
 }
 
-/// What a gateway believes in the end.
+/// What a gateway concludes at the end.
 #[derive(Debug, PartialEq)]
-struct Belief {
+struct State {
     verdict: Verdict,
     crashed: BTreeSet<u64>,
 }
 
-impl Belief {
+impl State {
     fn of(gateway: &Quarantine) -> Self {
-        let record = gateway.record(WORK);
+        let record = gateway.record(REQUEST);
         let crashes = record.iter().flat_map(|record| &record.crashes);
         Self {
-            verdict: gateway.verdict(WORK),
+            verdict: gateway.verdict(REQUEST),
             crashed: crashes.map(|crash| crash.incarnation).collect(),
         }
     }
 }
 
-/// Plays what gateways see, has them tell each other all at the end, and answers whether each believes the same then,
-/// and nothing that one saw is lost.
-fn agree(history: &[(usize, Sight)], hear: fn(&mut Quarantine, &Told, f64)) -> bool {
-    let crash = |sight: &Sight| match sight {
-        Sight::Crash { incarnation, .. } => Some(*incarnation),
+/// Replays the observations, shares all records at the end, and returns whether all gateways reach
+/// the same state and no observed crash is lost.
+fn converge(
+    history: &[(usize, Observation)],
+    merge: fn(&mut Quarantine, &SharedRecord, f64),
+) -> bool {
+    let crash = |observation: &Observation| match observation {
+        Observation::Crash { incarnation, .. } => Some(*incarnation),
         _ => None,
     };
     let seen: BTreeSet<u64> = history.iter().filter_map(|(_, s)| crash(s)).collect();
-    let mut gateways: Vec<Quarantine> = (0..GATEWAYS).map(|_| none()).collect();
+    let mut gateways: Vec<Quarantine> = (0..GATEWAYS).map(|_| empty()).collect();
     let mut now_ms = 0.0;
-    for (at, sight) in history {
+    for (index, observation) in history {
         now_ms += 200.0;
-        let gateway = &mut gateways[*at];
-        match sight {
-            Sight::Crash {
+        let gateway = &mut gateways[*index];
+        match observation {
+            Observation::Crash {
                 incarnation,
-                reached,
+                events,
             } => {
-                gateway.crashed(WORK, *incarnation, *reached, now_ms);
+                gateway.record_crash(REQUEST, *incarnation, *events, now_ms);
             }
-            Sight::Reached(events) => gateway.reached(WORK, *events, now_ms),
-            Sight::Whole => gateway.ended_whole(WORK, now_ms),
-            Sight::Tells { to, times } => {
-                let told = gateway.told(WORK, now_ms);
-                for told in told.iter().cycle().take(*times * told.iter().count()) {
-                    hear(&mut gateways[*to], told, now_ms);
+            Observation::Progress(events) => gateway.record_progress(REQUEST, *events, now_ms),
+            Observation::Completed => gateway.record_completion(REQUEST, now_ms),
+            Observation::Shares { to, times } => {
+                let shared = gateway.shared_record(REQUEST, now_ms);
+                for shared in shared.iter().cycle().take(*times * shared.iter().count()) {
+                    merge(&mut gateways[*to], shared, now_ms);
                 }
             }
         }
     }
     for _ in 0..2 {
         for from in 0..GATEWAYS {
-            let Some(told) = gateways[from].told(WORK, now_ms) else {
+            let Some(shared) = gateways[from].shared_record(REQUEST, now_ms) else {
                 continue;
             };
             for gateway in &mut gateways {
-                hear(gateway, &told, now_ms);
+                merge(gateway, &shared, now_ms);
             }
         }
     }
-    let first = Belief::of(&gateways[0]);
-    first.crashed == seen && gateways.iter().all(|gateway| Belief::of(gateway) == first)
+    let first = State::of(&gateways[0]);
+    first.crashed == seen && gateways.iter().all(|gateway| State::of(gateway) == first)
 }
 
 proptest! {
     #[test]
-    fn gateways_agree_once_all_is_told(history in history()) {
-        prop_assert!(agree(&history, Quarantine::hear));
+    fn gateways_converge_once_all_records_are_shared(history in history()) {
+        prop_assert!(converge(&history, Quarantine::merge_shared));
     }
 }
 
-/// Keeps evidence to the gateway that saw it.
-fn hear_nothing(_: &mut Quarantine, _: &Told, _: f64) {}
+/// Keeps crashes at the gateway that observed them.
+fn ignore_messages(_: &mut Quarantine, _: &SharedRecord, _: f64) {}
 
-/// Takes the latest message for all there is, so that a late one takes back what was cleared.
-fn hear_the_latest_only(quarantine: &mut Quarantine, told: &Told, now_ms: f64) {
-    *quarantine = none();
-    quarantine.hear(told, now_ms);
+/// Replaces the record by the latest message, so that a late one undoes a cleared crash.
+fn replace_with_latest(quarantine: &mut Quarantine, shared: &SharedRecord, now_ms: f64) {
+    *quarantine = empty();
+    quarantine.merge_shared(shared, now_ms);
 }
 
 #[rstest]
-#[case::evidence_kept_by_one_gateway(hear_nothing)]
-#[case::the_latest_message_replaces_what_is_known(hear_the_latest_only)]
-fn the_property_finds_wrong_ways_of_hearing(#[case] hear: fn(&mut Quarantine, &Told, f64)) {
+#[case::messages_ignored(ignore_messages)]
+#[case::latest_message_replaces_the_record(replace_with_latest)]
+fn the_property_detects_faulty_merges(#[case] merge: fn(&mut Quarantine, &SharedRecord, f64)) {
     let mut runner = TestRunner::new(Config {
         failure_persistence: None,
         ..Config::default()
     });
     let found = runner.run(&history(), |history| {
-        prop_assert!(agree(&history, hear));
+        prop_assert!(converge(&history, merge));
         Ok(())
     });
     assert!(found.is_err());
--- a/crates/mgs-relay/src/crash.rs
+++ b/crates/mgs-relay/src/crash.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_quarantine::key::WorkKey;
+use mgs_quarantine::fingerprint::Fingerprint;
 use tokio::sync::OnceCell;
 use tokio::time::sleep;
 
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct LostRun {
     pub(crate) request_id: String,
-    pub(crate) work: WorkKey,
+    pub(crate) work: Fingerprint,
     pub(crate) endpoint: Arc<Endpoint>,
     /// Endpoints that had read parts of its prompt.
     pub(crate) helpers: Vec<Arc<Endpoint>>,
--- a/crates/mgs-relay/src/follow/apply.rs
+++ b/crates/mgs-relay/src/follow/apply.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use mgs_quarantine::table::Told;
+use mgs_quarantine::table::SharedRecord;
 
 use super::Follower;
 use crate::bad_rows::BadRow;
@@ -89,7 +89,10 @@
             Update::Gateway { name, .. } | Update::GatewayGone { name } => {
                 self.rows.clear(self.topic, name);
             }
-            Update::Held(Told { key, .. }) | Update::LetGo(key) => {
+            Update::Held(SharedRecord {
+                fingerprint: key, ..
+            })
+            | Update::LetGo(key) => {
                 self.rows.clear(self.topic, &key.to_string());
             }
             Update::Configuration(_) => self.rows.clear_all(self.topic),
--- a/crates/mgs-relay/src/holds.rs
+++ b/crates/mgs-relay/src/holds.rs
@@ -7,24 +7,24 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-use mgs_quarantine::key::WorkKey;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::fingerprint::Fingerprint;
+use mgs_quarantine::table::SharedRecord;
 use tokio::sync::Notify;
 
 /// What the store says of a work.
 #[derive(Debug, Clone, PartialEq)]
 pub enum News {
     /// It is held.
-    Held(Told),
+    Held(SharedRecord),
     /// It was held, and somebody has let it go.
-    LetGo(WorkKey),
+    LetGo(Fingerprint),
 }
 
 /// What is to be written of a work.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Write {
     /// That it is held.
-    Hold(Told),
+    Hold(SharedRecord),
     /// That it isn't any more.
     LetGo,
 }
@@ -34,7 +34,7 @@
 pub struct Holds {
     news: Mutex<Vec<News>>,
     said: Notify,
-    writes: Mutex<BTreeMap<WorkKey, Write>>,
+    writes: Mutex<BTreeMap<Fingerprint, Write>>,
     wanted: Notify,
     is_rewrite_wanted: Notify,
 }
@@ -59,7 +59,7 @@
     }
 
     /// Something is to be written; it replaces what was to be written of the same work.
-    pub fn write(&self, work: WorkKey, write: Write) {
+    pub fn write(&self, work: Fingerprint, write: Write) {
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
         writes.insert(work, write);
         drop(writes);
@@ -67,7 +67,7 @@
     }
 
     /// Something couldn't be written; it still is to be, unless something else is by now.
-    pub fn write_if_none(&self, work: WorkKey, write: Write) {
+    pub fn write_if_none(&self, work: Fingerprint, write: Write) {
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
         writes.entry(work).or_insert(write);
         drop(writes);
@@ -75,7 +75,7 @@
     }
 
     /// Waits for something to write.
-    pub async fn to_write(&self) -> BTreeMap<WorkKey, Write> {
+    pub async fn to_write(&self) -> BTreeMap<Fingerprint, Write> {
         self.wanted.notified().await;
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *writes)
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -16,7 +16,7 @@
 use mgs_placing::board::PEER_SILENCE_MS;
 use mgs_placing::share::Beacon;
 use mgs_placing::share::Knows;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::table::SharedRecord;
 use serde::Deserialize;
 use serde::Serialize;
 use tokio::net::UdpSocket;
@@ -50,7 +50,7 @@
         /// Incarnation of the sender.
         from: u64,
         /// What it knows of them, or a part of that.
-        works: Vec<Told>,
+        works: Vec<SharedRecord>,
     },
 }
 
--- a/crates/mgs-relay/src/pursue.rs
+++ b/crates/mgs-relay/src/pursue.rs
@@ -11,7 +11,7 @@
 use mgs_fleet::view::EndpointKey;
 use mgs_placing::model::EngineModel;
 use mgs_placing::need::Need;
-use mgs_quarantine::key::WorkKey;
+use mgs_quarantine::fingerprint::Fingerprint;
 use tokio::time::sleep;
 use tokio::time::timeout;
 use tokio::time::Instant;
@@ -67,7 +67,7 @@
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
     /// Names the work among all requests for the same.
-    pub(crate) work: WorkKey,
+    pub(crate) work: Fingerprint,
     pub(crate) route: Arc<Route>,
     pub(crate) organisation: Option<Arc<Organisation>>,
     pub(crate) service: String,
--- a/crates/mgs-relay/src/quarantine.rs
+++ b/crates/mgs-relay/src/quarantine.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_quarantine::key::WorkKey;
+use mgs_quarantine::fingerprint::Fingerprint;
 use mgs_quarantine::options::Options;
 use mgs_quarantine::table::Quarantine;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::table::SharedRecord;
 use mgs_quarantine::table::Verdict;
 use tokio::sync::Notify;
 use tokio::time::sleep;
@@ -78,7 +78,7 @@
 pub(crate) struct Crashes {
     table: RefCell<Quarantine>,
     /// Works under which this gateway saw an endpoint end.
-    seen_here: RefCell<BTreeSet<WorkKey>>,
+    seen_here: RefCell<BTreeSet<Fingerprint>>,
     /// Since when endpoints refuse connections from here, in milliseconds.
     refuse_since_ms: RefCell<HashMap<EndpointKey, f64>>,
     /// The last life of each identifier whose end counts, and when it was, in milliseconds.
@@ -121,22 +121,22 @@
     }
 
     /// Works of which something is new here.
-    pub(crate) fn take_fresh(&self) -> Vec<WorkKey> {
-        self.table.borrow_mut().take_fresh()
+    pub(crate) fn take_fresh(&self) -> Vec<Fingerprint> {
+        self.table.borrow_mut().take_changed()
     }
 
     /// What to tell of works.
-    pub(crate) fn told(&self, keys: &[WorkKey], now_ms: f64) -> Vec<Told> {
+    pub(crate) fn told(&self, keys: &[Fingerprint], now_ms: f64) -> Vec<SharedRecord> {
         let table = self.table.borrow();
-        let told = keys.iter().map(|key| table.told(*key, now_ms));
+        let told = keys.iter().map(|key| table.shared_record(*key, now_ms));
         told.flatten().collect()
     }
 
     /// Works that a peer must know: held ones, and those that may soon be.
-    pub(crate) fn grave(&self) -> Vec<WorkKey> {
+    pub(crate) fn grave(&self) -> Vec<Fingerprint> {
         let table = self.table.borrow();
-        let is_grave = |key: &WorkKey| table.verdict(*key) != Verdict::Free;
-        table.keys().into_iter().filter(is_grave).collect()
+        let is_grave = |key: &Fingerprint| table.verdict(*key) != Verdict::Allowed;
+        table.fingerprints().into_iter().filter(is_grave).collect()
     }
 }
 
@@ -153,14 +153,14 @@
 
 impl Core {
     /// What may be done with a request, or the refusal of one that is held.
-    pub(crate) fn permission(&self, work: WorkKey) -> Result<Permission, Refusal> {
+    pub(crate) fn permission(&self, work: Fingerprint) -> Result<Permission, Refusal> {
         let verdict = self.crashes.table.borrow().verdict(work);
         Self::permission_by(verdict)
     }
 
     fn permission_by(verdict: Verdict) -> Result<Permission, Refusal> {
         match verdict {
-            Verdict::Free => Ok(Permission::Free),
+            Verdict::Allowed => Ok(Permission::Free),
             Verdict::Confined => Ok(Permission::Confined),
             Verdict::Held => Err(Refusal::after(Fault::Quarantined, RETRY_AFTER_HELD_MS)),
         }
@@ -168,7 +168,7 @@
 
     /// The same for a request that begins, which may be the trial of a held work. One gateway only takes that, the
     /// same by the word of all that hear each other.
-    pub(crate) fn permission_to_begin(&self, work: WorkKey) -> Result<Permission, Refusal> {
+    pub(crate) fn permission_to_begin(&self, work: Fingerprint) -> Result<Permission, Refusal> {
         let verdict = self.begin(work);
         let refused = match Self::permission_by(verdict) {
             Ok(permission) => return Ok(permission),
@@ -190,17 +190,17 @@
     }
 
     /// What may be done with a work of which a request begins.
-    fn begin(&self, work: WorkKey) -> Verdict {
+    fn begin(&self, work: Fingerprint) -> Verdict {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
-        let verdict = table.begin(work, now_ms);
+        let verdict = table.begin_request(work, now_ms);
         drop(table);
         self.tell_turned();
         verdict
     }
 
     /// Whether this gateway goes before all that it hears, for one work.
-    fn is_first_for(&self, work: WorkKey) -> bool {
+    fn is_first_for(&self, work: Fingerprint) -> bool {
         let rank = |gateway: u64| xxh3_64_with_seed(&work.0.to_le_bytes(), gateway);
         let own = rank(self.incarnation);
         let board = self.board.borrow();
@@ -237,8 +237,12 @@
     }
 
     /// Has the store keep what is known of a work.
-    fn write_hold(&self, work: WorkKey, is_held: bool) {
-        let told = self.crashes.table.borrow().told(work, self.now_ms());
+    fn write_hold(&self, work: Fingerprint, is_held: bool) {
+        let told = self
+            .crashes
+            .table
+            .borrow()
+            .shared_record(work, self.now_ms());
         let write = match told.filter(|_| is_held) {
             Some(told) => Write::Hold(told),
             None => Write::LetGo,
@@ -264,7 +268,7 @@
         }
         let incarnation = run.endpoint.facts.incarnation.hash_64();
         let mut table = self.crashes.table.borrow_mut();
-        table.crashed(run.work, incarnation, run.reached, at_ms);
+        table.record_crash(run.work, incarnation, run.reached, at_ms);
         drop(table);
         self.crashes.seen_here.borrow_mut().insert(run.work);
         self.tell_turned();
@@ -272,44 +276,44 @@
     }
 
     /// An endpoint has ended that helped with a run whose own endpoint has.
-    pub(crate) fn crashed_beside(&self, work: WorkKey, helper: &Endpoint, at_ms: f64) {
+    pub(crate) fn crashed_beside(&self, work: Fingerprint, helper: &Endpoint, at_ms: f64) {
         let incarnation = helper.facts.incarnation.hash_64();
         let mut table = self.crashes.table.borrow_mut();
-        table.crashed_beside(work, incarnation, at_ms);
+        table.record_helper_crash(work, incarnation, at_ms);
         self.crashes.urgent.notify_one();
     }
 
     /// A run of a work has made some events; how many is asked only if something is remembered.
-    pub(crate) fn run_reached(&self, work: WorkKey, events: impl FnOnce() -> u32) {
+    pub(crate) fn run_reached(&self, work: Fingerprint, events: impl FnOnce() -> u32) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
         if !table.is_empty() {
-            table.reached(work, events(), now_ms);
+            table.record_progress(work, events(), now_ms);
         }
     }
 
     /// A run of a work has ended whole.
-    pub(crate) fn run_ended_whole(&self, work: WorkKey) {
+    pub(crate) fn run_ended_whole(&self, work: Fingerprint) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
-        table.ended_whole(work, now_ms);
+        table.record_completion(work, now_ms);
     }
 
     /// A peer tells of crashes.
-    pub(crate) fn hear_crashes(&self, works: &[Told]) {
+    pub(crate) fn hear_crashes(&self, works: &[SharedRecord]) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
         for told in works {
-            table.hear(told, now_ms);
+            table.merge_shared(told, now_ms);
         }
         drop(table);
         self.tell_turned();
     }
 
     /// Somebody has let a work go: an operator, or a gateway at which it ended whole.
-    fn lift(&self, work: WorkKey) {
+    fn lift(&self, work: Fingerprint) {
         let now_ms = self.now_ms();
-        self.crashes.table.borrow_mut().lift(work, now_ms);
+        self.crashes.table.borrow_mut().release(work, now_ms);
         self.tell_turned();
     }
 
@@ -372,7 +376,7 @@
 
     /// Says which works are held now, or let go, and has the store keep those that this gateway saw.
     fn tell_turned(&self) {
-        let turned = self.crashes.table.borrow_mut().take_turned();
+        let turned = self.crashes.table.borrow_mut().take_hold_changes();
         for (work, is_held) in turned {
             if self.crashes.seen_here.borrow().contains(&work) {
                 self.write_hold(work, is_held);
@@ -404,8 +408,8 @@
         drop(refuse_since_ms);
         let endpoints = core.published.fleet().by_key.len();
         let mut table = core.crashes.table.borrow_mut();
-        table.know_endpoints(endpoints);
-        table.tidy(now_ms);
+        table.set_endpoint_count(endpoints);
+        table.prune(now_ms);
         let mut seen_here = core.crashes.seen_here.borrow_mut();
         seen_here.retain(|work| table.record(*work).is_some());
         core.metrics.held_works.set(table.held().len() as i64);
@@ -449,7 +453,7 @@
 pub(crate) fn closed_to(
     fleet: &Fleet,
     service: &str,
-    work: WorkKey,
+    work: Fingerprint,
     tried: &[EndpointKey],
 ) -> Vec<EndpointKey> {
     let present = fleet.of_service(service).iter();
--- a/crates/mgs-relay/src/serve.rs
+++ b/crates/mgs-relay/src/serve.rs
@@ -15,8 +15,8 @@
 use http_body_util::LengthLimitError;
 use http_body_util::Limited;
 use hyper::body::Incoming;
-use mgs_quarantine::key::Work;
-use mgs_quarantine::key::WorkKey;
+use mgs_quarantine::fingerprint::Fingerprint;
+use mgs_quarantine::fingerprint::RequestIdentity;
 use tokio::time::timeout;
 use tokio::time::timeout_at;
 use tokio::time::Instant;
@@ -250,11 +250,11 @@
     body: &Bytes,
     admitted: &Admitted,
     service: &str,
-) -> WorkKey {
+) -> Fingerprint {
     let organisation = admitted.organisation.as_ref();
     let caller = organisation.map_or("", |organisation| organisation.name.as_str());
     let target = head.uri.path_and_query();
-    let work = Work {
+    let work = RequestIdentity {
         service,
         host: &ask.host,
         method: head.method.as_str(),
@@ -262,7 +262,7 @@
         caller,
         body,
     };
-    work.key()
+    work.fingerprint()
 }
 
 /// The configuration in force. A process that has just started gets a moment to learn it: when all hosts
--- a/crates/mgs-relay/src/source.rs
+++ b/crates/mgs-relay/src/source.rs
@@ -5,8 +5,8 @@
 use std::pin::Pin;
 
 use displaydoc::Display;
-use mgs_quarantine::key::WorkKey;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::fingerprint::Fingerprint;
+use mgs_quarantine::table::SharedRecord;
 use serde::Deserialize;
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
@@ -192,9 +192,9 @@
         name: String,
     },
     /// A work that crashes endpoints is held.
-    Held(Told),
+    Held(SharedRecord),
     /// A work is held no more.
-    LetGo(WorkKey),
+    LetGo(Fingerprint),
 }
 
 /// What was read.
@@ -239,10 +239,10 @@
     fn register(&mut self, name: &str, address: SocketAddr) -> Reading<'_, ()>;
 
     /// Writes that a work is held.
-    fn put_hold(&mut self, hold: &Told) -> Reading<'_, ()>;
+    fn put_hold(&mut self, hold: &SharedRecord) -> Reading<'_, ()>;
 
     /// Writes that a work isn't held any more.
-    fn remove_hold(&mut self, work: WorkKey) -> Reading<'_, ()>;
+    fn remove_hold(&mut self, work: Fingerprint) -> Reading<'_, ()>;
 }
 
 /// Makes sources.
--- a/crates/mgs-relay/src/spread.rs
+++ b/crates/mgs-relay/src/spread.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mgs_quarantine::key::WorkKey;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::fingerprint::Fingerprint;
+use mgs_quarantine::table::SharedRecord;
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 use tokio::time::Instant;
@@ -31,7 +31,7 @@
 
 /// Tells peers until the process ends.
 pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, known: Rc<RefCell<Known>>) {
-    let mut repeated: Vec<WorkKey> = Vec::new();
+    let mut repeated: Vec<Fingerprint> = Vec::new();
     let mut gossip_at = Instant::now() + GOSSIP;
     let spread = Spread {
         core,
@@ -69,7 +69,7 @@
         self.known.borrow().addresses(&self.core, now_ms, true)
     }
 
-    async fn tell_all(&self, works: &[WorkKey]) {
+    async fn tell_all(&self, works: &[Fingerprint]) {
         if !works.is_empty() {
             self.tell(works, &self.everybody()).await;
         }
@@ -93,7 +93,7 @@
         self.tell(&grave, &everybody[drawn..=drawn]).await;
     }
 
-    async fn tell(&self, works: &[WorkKey], peers: &[SocketAddr]) {
+    async fn tell(&self, works: &[Fingerprint], peers: &[SocketAddr]) {
         let told = self.core.crashes.told(works, self.core.now_ms());
         for message in messages(self.core.incarnation, told) {
             let carried = Carried::CrashMessages;
@@ -103,7 +103,7 @@
 }
 
 /// Messages that fit a datagram each.
-fn messages(from: u64, works: Vec<Told>) -> Vec<Vec<u8>> {
+fn messages(from: u64, works: Vec<SharedRecord>) -> Vec<Vec<u8>> {
     let mut messages = Vec::new();
     let mut rest = works;
     while !rest.is_empty() {
--- a/src/command/quarantine.rs
+++ b/src/command/quarantine.rs
@@ -9,8 +9,8 @@
 use marigoldstage_platform::lift_hold;
 use marigoldstage_platform::list_holds;
 use marigoldstage_platform::HoldError;
-use mgs_quarantine::key::WorkKey;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::fingerprint::Fingerprint;
+use mgs_quarantine::table::SharedRecord;
 use tokio::runtime::Builder;
 use tokio::runtime::Runtime;
 use tokio::task::LocalSet;
@@ -59,7 +59,7 @@
         )
 }
 
-fn parse_work(text: &str) -> Result<WorkKey, String> {
+fn parse_work(text: &str) -> Result<Fingerprint, String> {
     text.parse()
         .map_err(|_| "a work has 32 hexadecimal digits".to_string())
 }
@@ -75,7 +75,7 @@
     match verb {
         "list" => list(store, out),
         _ => {
-            let work: &WorkKey = matches.get_one(WORK).expect("BUG: the parser requires it");
+            let work: &Fingerprint = matches.get_one(WORK).expect("BUG: the parser requires it");
             lift(store, *work, out)
         }
     }
@@ -86,11 +86,11 @@
     let holds = holds.map_err(failed)?;
     writeln!(out, "{:<32}  crashes  last, s ago  tried again", "work")?;
     for told in &holds {
-        let tried = if told.was_tried { "yes" } else { "no" };
+        let tried = if told.trial_taken { "yes" } else { "no" };
         writeln!(
             out,
             "{}  {:>7}  {:>11}  {tried}",
-            told.key,
+            told.fingerprint,
             told.crashes.len(),
             last_s(told)
         )?;
@@ -99,12 +99,12 @@
 }
 
 /// Time since the last crash, in seconds.
-fn last_s(told: &Told) -> u32 {
+fn last_s(told: &SharedRecord) -> u32 {
     let ages_ms = told.crashes.iter().map(|crash| crash.age_ms);
     ages_ms.min().unwrap_or(0) / 1_000
 }
 
-fn lift(store: SocketAddr, work: WorkKey, out: &mut dyn Write) -> Result<(), Error> {
+fn lift(store: SocketAddr, work: Fingerprint, out: &mut dyn Write) -> Result<(), Error> {
     let lifted = LocalSet::new().block_on(&runtime()?, lift_hold(store, work));
     lifted.map_err(failed)?;
     writeln!(out, "{work} is let go")?;
