--- a/crates/mgs-fleet/src/block.rs
+++ b/crates/mgs-fleet/src/block.rs
@@ -4,21 +4,21 @@
 use std::hash::BuildHasherDefault;
 use std::hash::Hasher;
 
-/// Hashes of cached blocks. They are well mixed already and are not hashed again.
+/// Hashes of cached blocks. They are uniformly distributed and aren't hashed again.
 ///
 /// ```
 /// let set: mgs_fleet::block::BlockSet = [1, 2].into_iter().collect();
 /// assert!(set.contains(&2));
 /// ```
-pub type BlockSet = HashSet<u64, BuildHasherDefault<Mixed>>;
+pub type BlockSet = HashSet<u64, BuildHasherDefault<IdentityHasher>>;
 
-/// Takes a well mixed number for its hash.
+/// Uses an integer as its own hash.
 #[derive(Debug, Default)]
-pub struct Mixed {
+pub struct IdentityHasher {
     hash: u64,
 }
 
-impl Hasher for Mixed {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.hash
     }
--- a/crates/mgs-fleet/src/cache.rs
+++ b/crates/mgs-fleet/src/cache.rs
@@ -1,4 +1,5 @@
-//! What is believed of an endpoint's prefix cache, from late events with gaps.
+//! The estimated content of an endpoint's prefix cache, from cache events that arrive late or get
+//! lost.
 
 use std::sync::Arc;
 
@@ -6,10 +7,10 @@
 
 use crate::block::BlockSet;
 
-/// Applies the cache events of a report to `cached`, which never grows past `blocks_max`.
+/// Applies the cache events of a report to `cached`, which never grows beyond `blocks_max`.
 ///
-/// A block that is believed cached and isn't costs a prompt some processing; so a full set drops
-/// what comes next until evictions or a reset make room.
+/// Assuming a block to be cached that isn't costs prompt processing. So at the bound new blocks are
+/// dropped until evictions or a reset make room.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -20,10 +21,10 @@
 ///
 /// let mut cached: Arc<BlockSet> = Arc::default();
 /// let report = LoadReport { cached_hashes: vec![1, 2, 3], ..LoadReport::default() };
-/// cache::apply(&mut cached, &report, 2);
+/// cache::apply_report(&mut cached, &report, 2);
 /// assert_eq!(cached.len(), 2);
 /// ```
-pub fn apply(cached: &mut Arc<BlockSet>, report: &LoadReport, blocks_max: usize) {
+pub fn apply_report(cached: &mut Arc<BlockSet>, report: &LoadReport, blocks_max: usize) {
     if report.cache_reset {
         *cached = Arc::default();
     }
@@ -42,32 +43,32 @@
     }
 }
 
-/// Count of leading `hashes` that are in `cached`.
+/// Number of leading `hashes` that are in `cached`.
 ///
-/// Hashes are chained, so an engine that has a block almost always has those before it; the
-/// search doubles its step and then halves it, which looks at a handful of blocks of a long prompt.
+/// Hashes are chained, so an engine that has a block almost always has all blocks before it. The
+/// search doubles its step and then halves it, which looks up only a few blocks of a long prompt.
 ///
 /// ```
 /// use mgs_fleet::block::BlockSet;
 ///
 /// let cached = BlockSet::from_iter([1, 2, 3]);
-/// assert_eq!(mgs_fleet::cache::leading(&cached, &[1, 2, 3, 9]), 3);
+/// assert_eq!(mgs_fleet::cache::cached_prefix_len(&cached, &[1, 2, 3, 9]), 3);
 /// ```
-pub fn leading(cached: &BlockSet, hashes: &[u64]) -> usize {
+pub fn cached_prefix_len(cached: &BlockSet, hashes: &[u64]) -> usize {
     if cached.is_empty() || hashes.first().is_none_or(|first| !cached.contains(first)) {
         return 0;
     }
-    let mut known = 1;
+    let mut prefix_len = 1;
     let mut step = 1;
-    while known + step <= hashes.len() && cached.contains(&hashes[known + step - 1]) {
-        known += step;
+    while prefix_len + step <= hashes.len() && cached.contains(&hashes[prefix_len + step - 1]) {
+        prefix_len += step;
         step *= 2;
     }
     while step > 0 {
-        if known + step <= hashes.len() && cached.contains(&hashes[known + step - 1]) {
-            known += step;
+        if prefix_len + step <= hashes.len() && cached.contains(&hashes[prefix_len + step - 1]) {
+            prefix_len += step;
         }
         step /= 2;
     }
-    known
+    prefix_len
 }
--- a/crates/mgs-fleet/src/fleet.rs
+++ b/crates/mgs-fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The single writer of the fleet's view.
+//! The mutable state of the fleet, from which views are published.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -18,17 +18,17 @@
 use crate::view::Load;
 use crate::view::View;
 
-/// Incarnations of one endpoint that are remembered as over.
-const RETIRED_MAX: usize = 8;
+/// Incarnations of one endpoint that are remembered as replaced.
+const RETIRED_INCARNATIONS_MAX: usize = 8;
 
 /// Settings of a [`Fleet`].
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Name of the process, which decides its subset of a large fleet.
+    /// Name of the process, which determines its subset of a large fleet.
     pub process: String,
     /// Availability zone of the process.
     pub zone: String,
-    /// Most endpoints held, shared evenly among the models.
+    /// Most endpoints tracked, shared evenly among the models.
     pub subset_max: usize,
     /// Most cached blocks remembered for each endpoint.
     pub cached_blocks_max: usize,
@@ -45,24 +45,24 @@
     }
 }
 
-/// What the fleet must remember of an endpoint beside what its view shows.
+/// State of an endpoint that isn't part of the view.
 #[derive(Debug, Default)]
-struct Session {
-    last_report: u64,
-    retired: Vec<u64>,
+struct EndpointRecord {
+    last_report_number: u64,
+    retired_incarnations: Vec<u64>,
     declared_models: Vec<String>,
-    started: bool,
-    /// The platform says that its host is leaving.
-    host_leaving: bool,
+    is_started: bool,
+    /// Whether the platform reports that its host is leaving.
+    is_host_leaving: bool,
 }
 
-impl Session {
-    fn takes_work(&self) -> bool {
-        self.started && !self.host_leaving
+impl EndpointRecord {
+    fn accepts_requests(&self) -> bool {
+        self.is_started && !self.is_host_leaving
     }
 }
 
-/// What a process knows of the fleet.
+/// The mutable state of the fleet in one process.
 ///
 /// ```
 /// use mgs_fleet::fleet::Fleet;
@@ -72,7 +72,7 @@
 /// use mgs_schema::settings::Snapshot;
 ///
 /// let mut fleet = Fleet::new(Options::default());
-/// fleet.settings(&Snapshot {
+/// fleet.apply_settings(&Snapshot {
 ///     version: 1,
 ///     endpoints: vec![EndpointRow {
 ///         name: "engine-1".into(),
@@ -90,105 +90,105 @@
 pub struct Fleet {
     options: Options,
     keys: HashMap<String, EndpointKey>,
-    sessions: Vec<Session>,
+    records: Vec<EndpointRecord>,
     view: View,
     published: Arc<View>,
-    changed: bool,
-    models_changed: bool,
+    is_view_stale: bool,
+    is_model_index_stale: bool,
 }
 
 impl Fleet {
-    /// A fleet of which nothing is known.
+    /// Creates an empty fleet.
     pub fn new(options: Options) -> Self {
         Self {
             options,
             keys: HashMap::new(),
-            sessions: Vec::new(),
+            records: Vec::new(),
             view: View::default(),
             published: Arc::new(View::default()),
-            changed: false,
-            models_changed: false,
+            is_view_stale: false,
+            is_model_index_stale: false,
         }
     }
 
-    /// Takes the endpoints of new settings. An older snapshot than the one in force is ignored.
+    /// Applies the endpoints of new settings. A snapshot older than the current one is ignored.
     ///
-    /// A stopped endpoint gets no new work from the next view on, and stays in it as leaving so
-    /// that its running requests can be followed. An endpoint without a row, or with an address
-    /// that can't be understood, is gone.
-    pub fn settings(&mut self, snapshot: &Snapshot) {
+    /// A stopped endpoint gets no new requests from the next view on. It stays in the view as
+    /// leaving, so that its running requests can be followed. An endpoint without a row, or with an
+    /// address that can't be parsed, is removed.
+    pub fn apply_settings(&mut self, snapshot: &Snapshot) {
         if snapshot.version < self.view.settings_version {
             return;
         }
-        let rows = subset::choose(&self.options, &snapshot.endpoints);
+        let rows = subset::select(&self.options, &snapshot.endpoints);
         let names: HashSet<&str> = rows.iter().map(|row| row.name.as_str()).collect();
         for slot in &mut self.view.endpoints {
             slot.take_if(|endpoint| !names.contains(endpoint.name.as_str()));
         }
         for row in rows {
-            self.declare(row);
+            self.apply_row(row);
         }
         self.view.settings_version = snapshot.version;
-        self.models_changed = true;
-        self.changed = true;
+        self.is_model_index_stale = true;
+        self.is_view_stale = true;
     }
 
-    fn declare(&mut self, row: &EndpointRow) {
+    fn apply_row(&mut self, row: &EndpointRow) {
         let Ok(address) = row.sidecar_address.parse::<SocketAddr>() else {
             return;
         };
-        let key = self.key(&row.name);
-        let session = &mut self.sessions[key.0 as usize];
-        session.started = row.started;
+        let key = self.key_or_insert(&row.name);
+        let record = &mut self.records[key.0 as usize];
+        record.is_started = row.started;
         let slot = &mut self.view.endpoints[key.0 as usize];
-        let same_place = |e: &&mut Arc<Endpoint>| {
+        let is_same_endpoint = |e: &&mut Arc<Endpoint>| {
             e.sidecar_address == address && e.kind == row.kind() && e.zone == row.zone
         };
-        if let Some(endpoint) = slot.as_mut().filter(same_place) {
+        if let Some(endpoint) = slot.as_mut().filter(is_same_endpoint) {
             let endpoint = Arc::make_mut(endpoint);
             endpoint.span = row.span;
-            if session.declared_models != row.models {
+            if record.declared_models != row.models {
                 endpoint.models.clone_from(&row.models);
             }
             if !row.started && endpoint.state == EndpointState::Live {
                 endpoint.state = EndpointState::Leaving;
             }
         } else {
-            session.last_report = 0;
-            *slot = Some(Arc::new(unreached(key, row, address)));
+            record.last_report_number = 0;
+            *slot = Some(Arc::new(unreached_endpoint(key, row, address)));
         }
-        session.declared_models.clone_from(&row.models);
+        record.declared_models.clone_from(&row.models);
     }
 
-    fn key(&mut self, name: &str) -> EndpointKey {
+    fn key_or_insert(&mut self, name: &str) -> EndpointKey {
         if let Some(key) = self.keys.get(name) {
             return *key;
         }
-        let key = EndpointKey(self.sessions.len() as u32);
-        self.sessions.push(Session::default());
+        let key = EndpointKey(self.records.len() as u32);
+        self.records.push(EndpointRecord::default());
         self.view.endpoints.push(None);
         self.keys.insert(name.to_owned(), key);
         key
     }
 
-    /// The key of an endpoint's name, if the fleet has it.
+    /// The key of the endpoint with this name, if the fleet has it.
     pub fn find(&self, name: &str) -> Option<EndpointKey> {
         let key = *self.keys.get(name)?;
         self.view.get(key).map(|endpoint| endpoint.key)
     }
 
-    /// A sidecar has answered on a new connection. Returns whether it is news: an incarnation
-    /// that was followed by another one stays over.
-    pub fn welcome(&mut self, key: EndpointKey, incarnation: u64, zone: &str) -> bool {
-        let Some((endpoint, session)) = self.slot(key) else {
+    /// Applies the welcome message of a sidecar on a new connection. Returns whether it is
+    /// accepted: an incarnation that another one has replaced isn't.
+    pub fn apply_welcome(&mut self, key: EndpointKey, incarnation: u64, zone: &str) -> bool {
+        let Some((endpoint, record)) = self.endpoint_mut(key) else {
             return false;
         };
-        if session.retired.contains(&incarnation) {
+        if record.retired_incarnations.contains(&incarnation) {
             return false;
         }
         if endpoint.incarnation != incarnation {
-            retire(session, endpoint.incarnation);
-            session.last_report = 0;
+            retire_incarnation(record, endpoint.incarnation);
+            record.last_report_number = 0;
             let endpoint = Arc::make_mut(endpoint);
             endpoint.incarnation = incarnation;
             endpoint.state = EndpointState::Down;
@@ -198,91 +198,91 @@
         if !zone.is_empty() && endpoint.zone != zone {
             Arc::make_mut(endpoint).zone = zone.to_owned();
         }
-        self.changed = true;
+        self.is_view_stale = true;
         true
     }
 
-    /// Takes a load report. Returns whether it was news: reports of another incarnation than the
-    /// one welcomed last, and those that were overtaken by a later one, are dropped.
-    pub fn report(&mut self, now_ms: u64, key: EndpointKey, report: &LoadReport) -> bool {
+    /// Applies a load report. Returns whether it is accepted: reports of another incarnation than
+    /// the one welcomed last, and those overtaken by a later report, are dropped.
+    pub fn apply_report(&mut self, now_ms: u64, key: EndpointKey, report: &LoadReport) -> bool {
         let blocks_max = self.options.cached_blocks_max;
-        let Some((endpoint, session)) = self.slot(key) else {
+        let Some((endpoint, record)) = self.endpoint_mut(key) else {
             return false;
         };
-        let overtaken = report.report <= session.last_report && session.last_report != 0;
-        if endpoint.incarnation != report.incarnation || overtaken {
+        let is_stale = report.report <= record.last_report_number && record.last_report_number != 0;
+        if endpoint.incarnation != report.incarnation || is_stale {
             return false;
         }
-        session.last_report = report.report;
+        record.last_report_number = report.report;
         let endpoint = Arc::make_mut(endpoint);
         let models_changed = report.models_known && endpoint.models != report.models;
         if models_changed {
             endpoint.models.clone_from(&report.models);
         }
         endpoint.state = match report.state() {
-            EndpointState::Live if !session.takes_work() => EndpointState::Leaving,
+            EndpointState::Live if !record.accepts_requests() => EndpointState::Leaving,
             state => state,
         };
-        endpoint.load = load_of(report);
+        endpoint.load = load_from_report(report);
         endpoint.reported_ms = now_ms;
-        cache::apply(&mut endpoint.cached, report, blocks_max);
-        self.models_changed |= models_changed;
-        self.changed = true;
+        cache::apply_report(&mut endpoint.cached, report, blocks_max);
+        self.is_model_index_stale |= models_changed;
+        self.is_view_stale = true;
         true
     }
 
-    /// The connection to a sidecar is lost, and no other one works.
-    pub fn lost(&mut self, now_ms: u64, key: EndpointKey) {
-        let Some((endpoint, _)) = self.slot(key) else {
+    /// Marks an endpoint as down, since the last connection to its sidecar is lost.
+    pub fn mark_unreachable(&mut self, now_ms: u64, key: EndpointKey) {
+        let Some((endpoint, _)) = self.endpoint_mut(key) else {
             return;
         };
         let endpoint = Arc::make_mut(endpoint);
         endpoint.state = EndpointState::Down;
         endpoint.reported_ms = now_ms;
-        self.changed = true;
+        self.is_view_stale = true;
     }
 
-    /// Takes the names of all endpoints whose host is leaving. They get no new work from the next
-    /// view on, and stay in it so that their running requests can be followed.
-    pub fn leaving(&mut self, names: &[String]) {
+    /// Sets the names of all endpoints whose host is leaving. They get no new requests from the
+    /// next view on, and stay in it so that their running requests can be followed.
+    pub fn set_leaving(&mut self, names: &[String]) {
         for endpoint in self.view.endpoints.iter_mut().flatten() {
-            let session = &mut self.sessions[endpoint.key.0 as usize];
-            let leaves = names.contains(&endpoint.name);
-            if session.host_leaving == leaves {
+            let record = &mut self.records[endpoint.key.0 as usize];
+            let is_leaving = names.contains(&endpoint.name);
+            if record.is_host_leaving == is_leaving {
                 continue;
             }
-            session.host_leaving = leaves;
-            if leaves && endpoint.state == EndpointState::Live {
+            record.is_host_leaving = is_leaving;
+            if is_leaving && endpoint.state == EndpointState::Live {
                 Arc::make_mut(endpoint).state = EndpointState::Leaving;
             }
-            self.models_changed = true;
-            self.changed = true;
+            self.is_model_index_stale = true;
+            self.is_view_stale = true;
         }
     }
 
-    /// The view as of now; only pointers are copied, and nothing when nothing has changed.
+    /// The current view. Only pointers are copied, and nothing if nothing has changed.
     pub fn view(&mut self) -> Arc<View> {
-        if self.models_changed {
-            self.view.by_model = Arc::new(self.index());
-            self.models_changed = false;
+        if self.is_model_index_stale {
+            self.view.by_model = Arc::new(self.index_by_model());
+            self.is_model_index_stale = false;
         }
-        if self.changed {
+        if self.is_view_stale {
             self.published = Arc::new(self.view.clone());
-            self.changed = false;
+            self.is_view_stale = false;
         }
         Arc::clone(&self.published)
     }
 
-    /// Each declared or loaded model with the started endpoints that can serve it now; a model
-    /// that is declared and served nowhere keeps an empty list.
-    fn index(&self) -> HashMap<String, Vec<EndpointKey>> {
+    /// Maps each declared or loaded model to the started endpoints that can serve it now. A
+    /// declared model that no endpoint serves maps to an empty list.
+    fn index_by_model(&self) -> HashMap<String, Vec<EndpointKey>> {
         let mut index: HashMap<String, Vec<EndpointKey>> = HashMap::new();
         for endpoint in self.view.endpoints.iter().flatten() {
-            let session = &self.sessions[endpoint.key.0 as usize];
-            for model in &session.declared_models {
+            let record = &self.records[endpoint.key.0 as usize];
+            for model in &record.declared_models {
                 index.entry(model.clone()).or_default();
             }
-            if !session.takes_work() {
+            if !record.accepts_requests() {
                 continue;
             }
             for model in &endpoint.models {
@@ -292,14 +292,21 @@
         index
     }
 
-    fn slot(&mut self, key: EndpointKey) -> Option<(&mut Arc<Endpoint>, &mut Session)> {
-        let slot = key.0 as usize;
-        let endpoint = self.view.endpoints.get_mut(slot)?.as_mut()?;
-        Some((endpoint, &mut self.sessions[slot]))
+    fn endpoint_mut(
+        &mut self,
+        key: EndpointKey,
+    ) -> Option<(&mut Arc<Endpoint>, &mut EndpointRecord)> {
+        let index = key.0 as usize;
+        let endpoint = self.view.endpoints.get_mut(index)?.as_mut()?;
+        Some((endpoint, &mut self.records[index]))
     }
 }
 
-fn unreached(key: EndpointKey, row: &EndpointRow, sidecar_address: SocketAddr) -> Endpoint {
+fn unreached_endpoint(
+    key: EndpointKey,
+    row: &EndpointRow,
+    sidecar_address: SocketAddr,
+) -> Endpoint {
     Endpoint {
         key,
         name: row.name.clone(),
@@ -316,7 +323,7 @@
     }
 }
 
-fn load_of(report: &LoadReport) -> Load {
+fn load_from_report(report: &LoadReport) -> Load {
     Load {
         waiting_requests: report.waiting_requests,
         running_requests: report.running_requests,
@@ -329,12 +336,12 @@
     }
 }
 
-fn retire(session: &mut Session, incarnation: u64) {
+fn retire_incarnation(record: &mut EndpointRecord, incarnation: u64) {
     if incarnation == 0 {
         return;
     }
-    if session.retired.len() == RETIRED_MAX {
-        session.retired.remove(0);
+    if record.retired_incarnations.len() == RETIRED_INCARNATIONS_MAX {
+        record.retired_incarnations.remove(0);
     }
-    session.retired.push(incarnation);
+    record.retired_incarnations.push(incarnation);
 }
--- a/crates/mgs-fleet/src/lib.rs
+++ b/crates/mgs-fleet/src/lib.rs
@@ -1,7 +1,8 @@
-//! What a gateway knows of the fleet: endpoints, their load, health and cached prefixes.
+//! What a process knows of the fleet: endpoints with their load, state and cached prefixes.
 //!
-//! A [`fleet::Fleet`] is the one writer; it is fed settings, load reports and lost connections and gives
-//! immutable [`view::View`]s that request threads read without a lock.
+//! A [`fleet::Fleet`] is the mutable state, owned by a single writer. It is updated from settings,
+//! load reports and lost connections, and publishes immutable [`view::View`]s that request threads
+//! read without a lock.
 
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
--- a/crates/mgs-fleet/src/subset.rs
+++ b/crates/mgs-fleet/src/subset.rs
@@ -1,4 +1,4 @@
-//! Which endpoints of a large fleet one process holds.
+//! Selects the endpoints of a large fleet that one process tracks.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -9,18 +9,19 @@
 
 use crate::fleet::Options;
 
-/// Share of a subset that is kept for other availability zones, as a divisor.
+/// Share of a subset that is reserved for other availability zones, as a divisor.
 const OTHER_ZONES_DIVISOR: usize = 4;
 
-/// Fewest endpoints held for each model, however many models there are.
-const MODEL_MIN: usize = 4;
+/// Fewest endpoints selected for each model, however many models there are.
+const ENDPOINTS_PER_MODEL_MIN: usize = 4;
 
-/// The rows that the process holds, in the order of `rows`. A fleet of at most
-/// [`Options::subset_max`] is held whole. Of a larger one, the models share that bound evenly, and
-/// each one's share is drawn by rendezvous hashing, from the process's own zone first and a quarter
-/// from other zones for spill-over. Stopped endpoints don't count against the bound.
+/// The rows that the process tracks, in the order of `rows`. A fleet of at most
+/// [`Options::subset_max`] endpoints is tracked completely. In a larger one, the models share that
+/// bound evenly. The endpoints of each model are chosen by rendezvous hashing: from the process's
+/// own availability zone first, and a quarter from other zones for spill-over. Stopped endpoints
+/// don't count against the bound.
 ///
-/// Each process draws its own subset, and one row more or less changes one member of it.
+/// Each process selects its own subset, and adding or removing one row changes one member of it.
 ///
 /// ```
 /// use mgs_fleet::fleet::Options;
@@ -35,9 +36,9 @@
 /// };
 /// let rows: Vec<EndpointRow> = (0..200).map(row).collect();
 /// let options = Options { subset_max: 20, ..Options::default() };
-/// assert_eq!(subset::choose(&options, &rows).len(), 20);
+/// assert_eq!(subset::select(&options, &rows).len(), 20);
 /// ```
-pub fn choose<'a>(options: &Options, rows: &'a [EndpointRow]) -> Vec<&'a EndpointRow> {
+pub fn select<'a>(options: &Options, rows: &'a [EndpointRow]) -> Vec<&'a EndpointRow> {
     if rows.len() <= options.subset_max {
         return rows.iter().collect();
     }
@@ -47,33 +48,33 @@
             by_model.entry(model).or_default().push(index);
         }
     }
-    let share = (options.subset_max / by_model.len().max(1)).max(MODEL_MIN);
-    let mut kept: HashSet<usize> = HashSet::new();
+    let share = (options.subset_max / by_model.len().max(1)).max(ENDPOINTS_PER_MODEL_MIN);
+    let mut selected: HashSet<usize> = HashSet::new();
     for members in by_model.values() {
-        keep(options, share, rows, members, &mut kept);
+        select_for_model(options, share, rows, members, &mut selected);
     }
-    let member = |(index, row)| kept.contains(&index).then_some(row);
-    rows.iter().enumerate().filter_map(member).collect()
+    let selected_row = |(index, row)| selected.contains(&index).then_some(row);
+    rows.iter().enumerate().filter_map(selected_row).collect()
 }
 
-fn keep(
+fn select_for_model(
     options: &Options,
     share: usize,
     rows: &[EndpointRow],
     members: &[usize],
-    kept: &mut HashSet<usize>,
+    selected: &mut HashSet<usize>,
 ) {
     let seed = xxh3_64(options.process.as_bytes());
-    let draw = |index: usize| xxh3_64_with_seed(rows[index].name.as_bytes(), seed);
+    let rank = |index: usize| xxh3_64_with_seed(rows[index].name.as_bytes(), seed);
     let started = members.iter().copied().filter(|i| rows[*i].started);
-    let (mut own, mut other): (Vec<usize>, Vec<usize>) =
+    let (mut own_zone, mut other_zones): (Vec<usize>, Vec<usize>) =
         started.partition(|i| rows[*i].zone == options.zone);
-    own.sort_by_key(|i| draw(*i));
-    other.sort_by_key(|i| draw(*i));
-    let spill = share / OTHER_ZONES_DIVISOR;
-    let from_own = own.len().min(share - spill);
-    let from_other = other.len().min(share - from_own);
-    let more_own = own.len().min(share - from_other);
-    kept.extend(&own[..more_own]);
-    kept.extend(&other[..from_other]);
+    own_zone.sort_by_key(|i| rank(*i));
+    other_zones.sort_by_key(|i| rank(*i));
+    let spill_over = share / OTHER_ZONES_DIVISOR;
+    let own_zone_min = own_zone.len().min(share - spill_over);
+    let from_other_zones = other_zones.len().min(share - own_zone_min);
+    let from_own_zone = own_zone.len().min(share - from_other_zones);
+    selected.extend(&own_zone[..from_own_zone]);
+    selected.extend(&other_zones[..from_other_zones]);
 }
--- a/crates/mgs-fleet/src/view.rs
+++ b/crates/mgs-fleet/src/view.rs
@@ -9,28 +9,28 @@
 
 use crate::block::BlockSet;
 
-/// Key of an endpoint in a [`View`]; stable for as long as the process knows the endpoint.
+/// Key of an endpoint in a [`View`]; stable while the process knows the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointKey(pub u32);
 
 /// Load of an endpoint as last reported.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
-    /// Requests that wait at the sidecar.
+    /// Requests waiting at the sidecar.
     pub waiting_requests: u32,
-    /// Requests that run.
+    /// Requests running.
     pub running_requests: u32,
     /// Prompt tokens accepted and not yet processed.
     pub prefill_waiting_tokens: u64,
-    /// The part of them that belongs to short prompts.
+    /// The part of `prefill_waiting_tokens` that belongs to short prompts.
     pub short_prefill_waiting_tokens: u64,
-    /// Engine memory in use or reserved.
+    /// KV cache memory in use or reserved.
     pub kv_used_tokens: u64,
-    /// Engine memory in all.
+    /// KV cache memory in total.
     pub kv_capacity_tokens: u64,
     /// Rate of prompt processing; 0 while unknown.
     pub prefill_tokens_per_s: f64,
-    /// Time of one decoding step, in milliseconds; 0 while unknown.
+    /// Duration of one decode step, in milliseconds; 0 while unknown.
     pub decode_step_ms: f64,
 }
 
@@ -41,7 +41,7 @@
     pub key: EndpointKey,
     /// Its name.
     pub name: String,
-    /// What stands behind it.
+    /// Whether it is an engine or a service.
     pub kind: EndpointKind,
     /// Address of its sidecar.
     pub sidecar_address: SocketAddr,
@@ -51,27 +51,27 @@
     pub models: Vec<String>,
     /// Whether it can hold a part of a prompt that exceeds one engine's memory.
     pub span: bool,
-    /// Incarnation of its sidecar; 0 while it has never been reached.
+    /// Incarnation of its sidecar; 0 until it is first reached.
     pub incarnation: u64,
-    /// State as its sidecar last said, or `Down` while it can't be reached.
+    /// State as last reported by its sidecar, or `Down` while the sidecar can't be reached.
     pub state: EndpointState,
     /// Load as last reported.
     pub load: Load,
-    /// When the load was reported, on the process's monotonic clock, in milliseconds.
+    /// When the load was reported, in milliseconds on the process's monotonic clock.
     pub reported_ms: u64,
-    /// Hashes of the prompt blocks believed to be cached.
+    /// Hashes of the prompt blocks assumed to be cached.
     pub cached: Arc<BlockSet>,
 }
 
 /// The fleet at one moment.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// Endpoints by key; `None` for keys whose endpoint is gone.
+    /// Endpoints by key; `None` for endpoints that were removed.
     pub endpoints: Vec<Option<Arc<Endpoint>>>,
-    /// Started endpoints by model or service name; empty for a name that is declared and that no
-    /// endpoint can serve now.
+    /// Started endpoints by model or service name; empty for a declared name that no endpoint can
+    /// serve now.
     pub by_model: Arc<HashMap<String, Vec<EndpointKey>>>,
-    /// Version of the settings that it was made from.
+    /// Version of the settings that the view is based on.
     pub settings_version: u64,
 }
 
--- a/crates/mgs-gateway/src/duty/hosts.rs
+++ b/crates/mgs-gateway/src/duty/hosts.rs
@@ -48,5 +48,5 @@
 fn found(duties: &Duties, leaving: &Leaving) {
     let core = &duties.core;
     let names = leaving.endpoints(&core.settings.table());
-    core.change_fleet(|fleet| fleet.leaving(&names));
+    core.change_fleet(|fleet| fleet.set_leaving(&names));
 }
--- a/crates/mgs-gateway/src/gateway.rs
+++ b/crates/mgs-gateway/src/gateway.rs
@@ -13,7 +13,7 @@
 use mgs_durable::durable;
 use mgs_durable::durable::Durable;
 use mgs_observe::admin;
-use mgs_observe::admin::Admin;
+use mgs_observe::admin::AdminServer;
 use mgs_observe::admin::Health;
 use mgs_observe::metrics::Registry;
 use mgs_request::budget;
@@ -171,7 +171,7 @@
     core: Arc<Core>,
     address: SocketAddr,
     peers: Option<Server>,
-    admin: Option<Admin>,
+    admin: Option<AdminServer>,
 }
 
 /// What follows the settings, before there is a gateway.
@@ -310,7 +310,7 @@
 
     /// Where operators reach it.
     pub fn admin_address(&self) -> Option<SocketAddr> {
-        self.admin.as_ref().map(Admin::address)
+        self.admin.as_ref().map(AdminServer::address)
     }
 
     /// Number that this start has and no other.
@@ -381,7 +381,7 @@
     Server::start(&core.runtime, listener, &options, handler).map_err(Error::Threads)
 }
 
-fn serve_admin(core: &Arc<Core>, at: SocketAddr) -> Result<Admin, Error> {
+fn serve_admin(core: &Arc<Core>, at: SocketAddr) -> Result<AdminServer, Error> {
     let options = admin::Options {
         listen: at.to_string(),
     };
--- a/crates/mgs-gateway/src/keeper.rs
+++ b/crates/mgs-gateway/src/keeper.rs
@@ -29,7 +29,7 @@
 
 fn apply(core: &Arc<Core>) {
     let table = core.settings.table();
-    core.change_fleet(|fleet| fleet.settings(table.snapshot()));
+    core.change_fleet(|fleet| fleet.apply_settings(table.snapshot()));
     core.sessions.reconcile(core, &core.view());
     core.hub.settings(core);
     core.hub.wake();
--- a/crates/mgs-gateway/src/session.rs
+++ b/crates/mgs-gateway/src/session.rs
@@ -243,7 +243,7 @@
         }
         let key = self.slot.key;
         self.core
-            .change_fleet(|fleet| fleet.welcome(key, welcome.incarnation, &welcome.zone));
+            .change_fleet(|fleet| fleet.apply_welcome(key, welcome.incarnation, &welcome.zone));
     }
 
     /// Takes load reports until the session must be replaced; says why.
@@ -266,7 +266,7 @@
             if report.incarnation == incarnation {
                 let (now_ms, key) = (self.core.now_ms(), self.slot.key);
                 self.core
-                    .change_fleet(|fleet| fleet.report(now_ms, key, &report));
+                    .change_fleet(|fleet| fleet.apply_report(now_ms, key, &report));
                 self.core.hub.wake_waiting();
                 self.settings(&report, &mut pushed);
             }
@@ -309,7 +309,8 @@
         self.slot.current.store(None);
         self.core.metrics.sessions.dec();
         let (now_ms, key) = (self.core.now_ms(), self.slot.key);
-        self.core.change_fleet(|fleet| fleet.lost(now_ms, key));
+        self.core
+            .change_fleet(|fleet| fleet.mark_unreachable(now_ms, key));
         let name = &self.slot.name;
         self.core.report(|reporter| reporter.lost(name));
     }
--- a/crates/mgs-observe/src/admin.rs
+++ b/crates/mgs-observe/src/admin.rs
@@ -1,12 +1,12 @@
-//! An HTTP server for operators: `/metrics`, `/healthz` and `/readyz`.
+//! The admin server: an HTTP server for operators with `/metrics`, `/healthz` and `/readyz`.
 //!
-//! | path | answer |
+//! | path | response |
 //! |---|---|
 //! | `/metrics` | 200, the registry in the OpenMetrics text format |
 //! | `/healthz` | 200 while the process works, 503 when it should be restarted |
-//! | `/readyz` | 200 while it should get work, 503 with the reason on one line when it should not |
+//! | `/readyz` | 200 while it should get requests, 503 with the reason on one line otherwise |
 //!
-//! Any other path is answered 404, any method but GET and HEAD 405.
+//! Any other path gets 404, any method but GET and HEAD 405.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,19 +22,19 @@
 
 use crate::metrics::Registry;
 
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-const TEXT_TYPE: &str = "text/plain; charset=utf-8";
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const TEXT_CONTENT_TYPE: &str = "text/plain; charset=utf-8";
 
-/// What a role says of itself.
+/// Health of a role.
 pub trait Health: Send + Sync {
     /// Whether the process works; if not, it should be restarted.
     fn healthy(&self) -> bool;
 
-    /// Whether it should get work, or else why not.
+    /// Whether the process should get requests, or the reason why not.
     fn ready(&self) -> Result<(), String>;
 }
 
-/// Settings of the server.
+/// Settings of the admin server.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Address to listen on, `IP:PORT`; port 0 takes a free one.
@@ -49,55 +49,55 @@
     }
 }
 
-/// Why the server didn't start.
+/// Why the admin server didn't start.
 #[derive(Debug, Display)]
 pub enum Error {
-    /// can't listen on {listen} for operators: {reason}
+    /// the admin server can't listen on {listen}: {reason}
     Listen {
         /// The address.
         listen: String,
-        /// What the system said.
+        /// The error of the operating system.
         reason: String,
     },
 }
 
 impl std::error::Error for Error {}
 
-/// A running server; it stops when this is dropped.
-pub struct Admin {
+/// A running admin server; dropping it stops the server.
+pub struct AdminServer {
     address: SocketAddr,
     server: Arc<Server>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl std::fmt::Debug for Admin {
+impl std::fmt::Debug for AdminServer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Admin")
+        f.debug_struct("AdminServer")
             .field("address", &self.address)
             .finish_non_exhaustive()
     }
 }
 
-impl Admin {
-    /// The address that it listens on.
+impl AdminServer {
+    /// The address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-impl Drop for Admin {
+impl Drop for AdminServer {
     fn drop(&mut self) {
         self.server.unblock();
         let Some(thread) = self.thread.take() else {
             return;
         };
         if thread.join().is_err() {
-            log::error!("the operators' server panicked");
+            log::error!("the admin server thread panicked");
         }
     }
 }
 
-/// Starts the server on a thread of its own.
+/// Starts the admin server on its own thread.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -105,9 +105,9 @@
 /// use mgs_observe::admin;
 /// use mgs_observe::metrics::Registry;
 ///
-/// struct Always;
+/// struct AlwaysHealthy;
 ///
-/// impl admin::Health for Always {
+/// impl admin::Health for AlwaysHealthy {
 ///     fn healthy(&self) -> bool {
 ///         true
 ///     }
@@ -117,7 +117,7 @@
 ///     }
 /// }
 ///
-/// let admin = admin::serve(admin::Options::default(), Registry::new(), Arc::new(Always))?;
+/// let admin = admin::serve(admin::Options::default(), Registry::new(), Arc::new(AlwaysHealthy))?;
 /// assert_ne!(admin.address().port(), 0);
 /// # Ok::<(), admin::Error>(())
 /// ```
@@ -125,23 +125,23 @@
     options: Options,
     registry: Registry,
     health: Arc<dyn Health>,
-) -> Result<Admin, Error> {
-    let fail = |reason: String| Error::Listen {
+) -> Result<AdminServer, Error> {
+    let listen_error = |reason: String| Error::Listen {
         listen: options.listen.clone(),
         reason,
     };
-    let server = Server::http(&options.listen).map_err(|error| fail(error.to_string()))?;
+    let server = Server::http(&options.listen).map_err(|error| listen_error(error.to_string()))?;
     let server = Arc::new(server);
     let address = server
         .server_addr()
         .to_ip()
         .expect("BUG: an IP listener has an IP address");
-    let accepting = server.clone();
+    let accepting_server = server.clone();
     let thread = thread::Builder::new()
         .name("admin".to_string())
-        .spawn(move || run(&accepting, &registry, health.as_ref()))
-        .map_err(|error| fail(error.to_string()))?;
-    Ok(Admin {
+        .spawn(move || run(&accepting_server, &registry, health.as_ref()))
+        .map_err(|error| listen_error(error.to_string()))?;
+    Ok(AdminServer {
         address,
         server,
         thread: Some(thread),
@@ -150,37 +150,37 @@
 
 fn run(server: &Server, registry: &Registry, health: &dyn Health) {
     for request in server.incoming_requests() {
-        let answer = answer(&request, registry, health);
-        if let Err(error) = request.respond(answer) {
-            log::debug!(error:% = error; "an operator's connection broke");
+        let response = respond(&request, registry, health);
+        if let Err(error) = request.respond(response) {
+            log::debug!(error:% = error; "failed to send an admin response");
         }
     }
 }
 
-type Answer = Response<std::io::Cursor<Vec<u8>>>;
+type TextResponse = Response<std::io::Cursor<Vec<u8>>>;
 
-fn answer(request: &Request, registry: &Registry, health: &dyn Health) -> Answer {
+fn respond(request: &Request, registry: &Registry, health: &dyn Health) -> TextResponse {
     if !matches!(request.method(), Method::Get | Method::Head) {
-        return text(405, "use GET\n".to_string(), TEXT_TYPE);
+        return text_response(405, "use GET\n".to_string(), TEXT_CONTENT_TYPE);
     }
     let path = request.url().split('?').next().unwrap_or_default();
     match path {
-        "/metrics" => text(200, registry.encode(), METRICS_TYPE),
-        "/healthz" if health.healthy() => text(200, "ok\n".to_string(), TEXT_TYPE),
-        "/healthz" => text(503, "not healthy\n".to_string(), TEXT_TYPE),
+        "/metrics" => text_response(200, registry.encode(), METRICS_CONTENT_TYPE),
+        "/healthz" if health.healthy() => text_response(200, "ok\n".to_string(), TEXT_CONTENT_TYPE),
+        "/healthz" => text_response(503, "not healthy\n".to_string(), TEXT_CONTENT_TYPE),
         "/readyz" => match health.ready() {
-            Ok(()) => text(200, "ready\n".to_string(), TEXT_TYPE),
-            Err(reason) => text(503, format!("{reason}\n"), TEXT_TYPE),
+            Ok(()) => text_response(200, "ready\n".to_string(), TEXT_CONTENT_TYPE),
+            Err(reason) => text_response(503, format!("{reason}\n"), TEXT_CONTENT_TYPE),
         },
-        _ => text(
+        _ => text_response(
             404,
             "try /metrics, /healthz or /readyz\n".to_string(),
-            TEXT_TYPE,
+            TEXT_CONTENT_TYPE,
         ),
     }
 }
 
-fn text(status: u16, body: String, content_type: &str) -> Answer {
+fn text_response(status: u16, body: String, content_type: &str) -> TextResponse {
     let header = Header::from_bytes("Content-Type", content_type)
         .expect("BUG: the content types are valid headers");
     Response::from_string(body)
--- a/crates/mgs-observe/src/lib.rs
+++ b/crates/mgs-observe/src/lib.rs
@@ -1,9 +1,9 @@
-//! Counters, histograms and JSON-line logs shared by every role.
+//! Metrics, JSON-line logs and the admin server, shared by all roles.
 //!
-//! A role makes one [`metrics::Registry`], registers its families in it once and keeps the handles;
-//! counting is then an atomic addition. [`admin::serve`] shows the registry and the role's health
-//! to operators over HTTP, and [`logs::start`] sends the process's log to standard error as one JSON
-//! object a line.
+//! A role creates one [`metrics::Registry`], registers its metrics once and keeps the handles;
+//! counting is then an atomic addition. [`admin::serve`] exposes the registry and the role's health
+//! to operators over HTTP, and [`logs::start_stderr`] writes the process's log to standard error as
+//! one JSON object per line.
 
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
--- a/crates/mgs-observe/src/logs/bounded.rs
+++ b/crates/mgs-observe/src/logs/bounded.rs
@@ -1,4 +1,4 @@
-//! A writer of log lines that never waits.
+//! A log writer that never blocks its callers.
 
 use std::io;
 use std::io::Write;
@@ -14,22 +14,22 @@
 use flexi_logger::DeferredNow;
 use log::Record;
 
-/// Lines that wait to be written; at some hundred bytes each about 2 MB.
-pub const LINES_MAX: usize = 4_096;
+/// Most lines waiting to be written; at some hundred bytes each, about 2 MB.
+pub const QUEUED_LINES_MAX: usize = 4_096;
 
-/// Time between two writes. Each wakes a thread, so lines go out together.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two writes. Each write wakes a thread, so lines are written in batches.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the process's threads and the writing thread share.
+/// Lines that logging threads pass to the writer thread.
 #[derive(Debug)]
-struct Shared {
+struct Queue {
     lines: ArrayQueue<Vec<u8>>,
     dropped: AtomicU64,
 }
 
-impl Shared {
-    /// Writes what waits.
-    fn write_out(&self) -> io::Result<()> {
+impl Queue {
+    /// Writes all queued lines.
+    fn drain(&self) -> io::Result<()> {
         let mut text = Vec::new();
         while let Some(line) = self.lines.pop() {
             text.extend_from_slice(&line);
@@ -49,48 +49,48 @@
     }
 }
 
-/// Puts lines in the queue.
+/// Puts log lines into the queue.
 #[derive(Debug, Clone)]
-pub(super) struct Writer {
-    shared: Arc<Shared>,
+pub(super) struct QueueWriter {
+    queue: Arc<Queue>,
 }
 
-impl Writer {
-    /// Starts the thread that writes.
+impl QueueWriter {
+    /// Starts the writer thread.
     pub(super) fn start() -> io::Result<Self> {
-        let shared = Arc::new(Shared {
-            lines: ArrayQueue::new(LINES_MAX),
+        let queue = Arc::new(Queue {
+            lines: ArrayQueue::new(QUEUED_LINES_MAX),
             dropped: AtomicU64::new(0),
         });
-        let writing = shared.clone();
-        let body = move || loop {
-            thread::sleep(INTERVAL);
-            // Without a reader of standard output there is nobody to tell.
-            let _ = writing.write_out();
+        let writer_queue = queue.clone();
+        let write_loop = move || loop {
+            thread::sleep(FLUSH_INTERVAL);
+            // If standard output has no reader, the error can't be reported anywhere.
+            let _ = writer_queue.drain();
         };
         thread::Builder::new()
             .name("log".to_string())
-            .spawn(body)
-            .map(|_| Self { shared })
+            .spawn(write_loop)
+            .map(|_| Self { queue })
     }
 }
 
-impl LogWriter for Writer {
+impl LogWriter for QueueWriter {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
         let mut line = Vec::with_capacity(512);
         json_format(&mut line, now, record)?;
-        if self.shared.lines.push(line).is_err() {
-            self.shared.dropped.fetch_add(1, Ordering::Relaxed);
+        if self.queue.lines.push(line).is_err() {
+            self.queue.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
 
     fn flush(&self) -> io::Result<()> {
-        self.shared.write_out()
+        self.queue.drain()
     }
 
     fn shutdown(&self) {
-        // The end of the process: what can't be written now is lost.
-        let _ = self.shared.write_out();
+        // The process ends, so lines that can't be written now are lost.
+        let _ = self.queue.drain();
     }
 }
--- a/crates/mgs-observe/src/metrics.rs
+++ b/crates/mgs-observe/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Typed handles for the metrics of one process.
 //!
-//! Names follow the OpenMetrics conventions: the registry puts `mgs_` in front, counters are shown
-//! with `_total` at their end, and histograms of durations end in `_ms`.
+//! Names follow the OpenMetrics conventions: the registry adds the prefix `mgs_`, counters get the
+//! suffix `_total`, and names of duration histograms end in `_ms`.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -24,11 +24,12 @@
     5_000.0, 10_000.0, 25_000.0, 50_000.0, 100_000.0, 250_000.0,
 ];
 
-type Labels = [(String, String); 1];
+type OneLabel = [(String, String); 1];
 
 type TwoLabels = [(String, String); 2];
 
-/// The metrics of one process, or of one role where several share a process. Clones share it.
+/// The metrics of one process, or of one role where several share a process. Clones share their
+/// state.
 ///
 /// ```
 /// use mgs_observe::metrics::Registry;
@@ -44,7 +45,7 @@
 }
 
 impl Registry {
-    /// An empty registry.
+    /// Creates an empty registry.
     pub fn new() -> Self {
         let inner = registry::Registry::with_prefix(PREFIX);
         Self {
@@ -83,19 +84,24 @@
     /// use mgs_observe::metrics::Registry;
     ///
     /// let registry = Registry::new();
-    /// let ends = registry.table("ends", "Requests, by size and outcome", ["size", "outcome"]);
+    /// let ends = registry.two_label_counters("ends", "Requests, by size and outcome", ["size", "outcome"]);
     /// ends.inc(["under_2k", "answered"]);
     /// assert!(registry
     ///     .encode()
     ///     .contains(r#"mgs_ends_total{size="under_2k",outcome="answered"} 1"#));
     /// ```
-    pub fn table(&self, name: &str, help: &str, labels: [&str; 2]) -> CounterTable {
-        let table = CounterTable {
+    pub fn two_label_counters(
+        &self,
+        name: &str,
+        help: &str,
+        labels: [&str; 2],
+    ) -> TwoLabelCounters {
+        let counters = TwoLabelCounters {
             labels: labels.map(str::to_string),
             family: Family::default(),
         };
-        self.register(name, help, table.family.clone());
-        table
+        self.register(name, help, counters.family.clone());
+        counters
     }
 
     /// Registers a gauge.
@@ -150,7 +156,7 @@
     histogram::Histogram::new(BUCKETS_MS)
 }
 
-/// A count that only grows. Clones share it.
+/// A monotonic counter. Clones share their state.
 #[derive(Debug, Clone, Default)]
 pub struct Counter(counter::Counter);
 
@@ -171,11 +177,11 @@
     }
 }
 
-/// Counters that differ in the value of one label. Clones share them.
+/// Counters that differ in the value of one label. Clones share their state.
 #[derive(Debug, Clone)]
 pub struct Counters {
     label: String,
-    family: Family<Labels, counter::Counter>,
+    family: Family<OneLabel, counter::Counter>,
 }
 
 impl Counters {
@@ -190,8 +196,8 @@
         self.family.get_or_create(&labels).inc_by(count);
     }
 
-    /// The counter of this label value, to be kept where it is counted often.
-    pub fn with(&self, value: &str) -> Counter {
+    /// The counter of this label value, for callers that count often.
+    pub fn with_label_value(&self, value: &str) -> Counter {
         let labels = labels(&self.label, value);
         Counter(self.family.get_or_create_owned(&labels))
     }
@@ -204,14 +210,14 @@
     }
 }
 
-/// Counters that differ in the values of two labels. Clones share them.
+/// Counters that differ in the values of two labels. Clones share their state.
 #[derive(Debug, Clone)]
-pub struct CounterTable {
+pub struct TwoLabelCounters {
     labels: [String; 2],
     family: Family<TwoLabels, counter::Counter>,
 }
 
-impl CounterTable {
+impl TwoLabelCounters {
     /// Adds one to the counter of these label values.
     pub fn inc(&self, values: [&str; 2]) {
         let [first, second] = &self.labels;
@@ -223,7 +229,7 @@
     }
 }
 
-/// A value that goes up and down. Clones share it.
+/// A value that goes up and down. Clones share their state.
 #[derive(Debug, Clone, Default)]
 pub struct Gauge(gauge::Gauge);
 
@@ -238,7 +244,7 @@
         self.0.inc();
     }
 
-    /// Takes one off.
+    /// Subtracts one.
     pub fn dec(&self) {
         self.0.dec();
     }
@@ -249,63 +255,63 @@
     }
 }
 
-/// Gauges that differ in the value of one label. Clones share them.
+/// Gauges that differ in the value of one label. Clones share their state.
 #[derive(Debug, Clone)]
 pub struct Gauges {
     label: String,
-    family: Family<Labels, gauge::Gauge>,
+    family: Family<OneLabel, gauge::Gauge>,
 }
 
 impl Gauges {
     /// Sets the gauge of this label value.
     pub fn set(&self, value: &str, to: i64) {
-        self.with(value).set(to);
+        self.with_label_value(value).set(to);
     }
 
-    /// The gauge of this label value, to be kept where it is set often.
-    pub fn with(&self, value: &str) -> Gauge {
+    /// The gauge of this label value, for callers that set it often.
+    pub fn with_label_value(&self, value: &str) -> Gauge {
         let labels = labels(&self.label, value);
         Gauge(self.family.get_or_create_owned(&labels))
     }
 
-    /// Forgets the gauge of this label value.
+    /// Removes the gauge of this label value.
     pub fn remove(&self, value: &str) {
         self.family.remove(&labels(&self.label, value));
     }
 }
 
-/// A histogram of durations, in milliseconds. Clones share it.
+/// A histogram of durations in milliseconds. Clones share their state.
 #[derive(Debug, Clone)]
 pub struct HistogramMs(histogram::Histogram);
 
 impl HistogramMs {
-    /// Counts a duration.
-    pub fn observe(&self, took_ms: f64) {
-        self.0.observe(took_ms);
+    /// Records a duration.
+    pub fn observe(&self, duration_ms: f64) {
+        self.0.observe(duration_ms);
     }
 }
 
-/// Histograms of durations that differ in the value of one label. Clones share them.
+/// Histograms of durations that differ in the value of one label. Clones share their state.
 #[derive(Debug, Clone)]
 pub struct HistogramsMs {
     label: String,
-    family: Family<Labels, histogram::Histogram, fn() -> histogram::Histogram>,
+    family: Family<OneLabel, histogram::Histogram, fn() -> histogram::Histogram>,
 }
 
 impl HistogramsMs {
-    /// Counts a duration under this label value.
-    pub fn observe(&self, value: &str, took_ms: f64) {
+    /// Records a duration under this label value.
+    pub fn observe(&self, value: &str, duration_ms: f64) {
         let labels = labels(&self.label, value);
-        self.family.get_or_create(&labels).observe(took_ms);
+        self.family.get_or_create(&labels).observe(duration_ms);
     }
 
-    /// The histogram of this label value, to be kept where it is used often.
-    pub fn with(&self, value: &str) -> HistogramMs {
+    /// The histogram of this label value, for callers that use it often.
+    pub fn with_label_value(&self, value: &str) -> HistogramMs {
         let labels = labels(&self.label, value);
         HistogramMs(self.family.get_or_create_owned(&labels))
     }
 }
 
-fn labels(label: &str, value: &str) -> Labels {
+fn labels(label: &str, value: &str) -> OneLabel {
     [(label.to_string(), value.to_string())]
 }
--- a/crates/mgs-observe/tests/admin.rs
+++ b/crates/mgs-observe/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' server answers over a real socket.
+//! Checks the responses of the admin server over a TCP connection.
 
 use std::io::Read;
 use std::io::Write;
@@ -14,12 +14,12 @@
 
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Fixed {
+struct StaticHealth {
     healthy: bool,
     ready: Result<(), String>,
 }
 
-impl Health for Fixed {
+impl Health for StaticHealth {
     fn healthy(&self) -> bool {
         self.healthy
     }
@@ -29,7 +29,7 @@
     }
 }
 
-fn call(address: SocketAddr, method: &str, path: &str) -> String {
+fn send_request(address: SocketAddr, method: &str, path: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     write!(
@@ -37,13 +37,13 @@
         "{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
     )
     .unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    response
 }
 
-fn status(answer: &str) -> u16 {
-    answer.split(' ').nth(1).unwrap().parse().unwrap()
+fn status(response: &str) -> u16 {
+    response.split(' ').nth(1).unwrap().parse().unwrap()
 }
 
 #[rstest]
@@ -54,28 +54,28 @@
 #[case("GET", "/metrics", true, Ok(()), 200, "mgs_seen_total 3")]
 #[case("GET", "/nothing", true, Ok(()), 404, "try /metrics")]
 #[case("POST", "/metrics", true, Ok(()), 405, "use GET")]
-fn answers(
+fn paths_and_methods_get_their_status_and_body(
     #[case] method: &str,
     #[case] path: &str,
     #[case] healthy: bool,
     #[case] ready: Result<(), &str>,
-    #[case] wanted: u16,
+    #[case] expected_status: u16,
     #[case] body: &str,
 ) {
     let ready = ready.map_err(str::to_string);
     let registry = Registry::new();
     registry.counter("seen", "Things seen").inc_by(3);
-    let health = Arc::new(Fixed { healthy, ready });
+    let health = Arc::new(StaticHealth { healthy, ready });
     let admin = admin::serve(admin::Options::default(), registry, health).unwrap();
-    let answer = call(admin.address(), method, path);
-    assert_eq!(status(&answer), wanted, "{answer}");
-    assert!(answer.contains(body), "{answer}");
+    let response = send_request(admin.address(), method, path);
+    assert_eq!(status(&response), expected_status, "{response}");
+    assert!(response.contains(body), "{response}");
 }
 
 #[test]
-fn a_taken_address_is_an_error_that_names_it() {
+fn an_address_in_use_is_an_error_that_names_it() {
     let health = || {
-        Arc::new(Fixed {
+        Arc::new(StaticHealth {
             healthy: true,
             ready: Ok(()),
         })
--- a/crates/mgs-observe/tests/logs.rs
+++ b/crates/mgs-observe/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Filters are checked before the log starts.
+//! Checks that log filters are validated before the log starts.
 
 use mgs_observe::logs;
 use rstest::rstest;
@@ -9,6 +9,6 @@
 #[case("off", true)]
 #[case("loud", false)]
 #[case("info, mgs_gateway=loud", false)]
-fn levels_are_checked(#[case] level: &str, #[case] good: bool) {
-    assert_eq!(logs::check(level).is_ok(), good);
+fn filters_are_validated(#[case] level: &str, #[case] is_valid: bool) {
+    assert_eq!(logs::check_filter(level).is_ok(), is_valid);
 }
--- a/crates/mgs-observe/tests/metrics.rs
+++ b/crates/mgs-observe/tests/metrics.rs
@@ -1,12 +1,12 @@
-//! Handles count, and the registry shows what they counted.
+//! Checks that handles count, and that the registry encodes their values.
 
 use mgs_observe::metrics::Registry;
 
 #[test]
-fn counters_by_reason_are_shown() {
+fn labelled_counters_are_encoded() {
     let registry = Registry::new();
     let refusals = registry.counters("refused", "Requests refused, by reason", "reason");
-    let busy = refusals.with("busy");
+    let busy = refusals.with_label_value("busy");
     busy.inc();
     refusals.inc("busy");
     refusals.inc_by("queue_full", 5);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn gauges_are_set_and_removed() {
+fn labelled_gauges_are_set_and_removed() {
     let registry = Registry::new();
     let load = registry.gauges("load", "Load", "endpoint");
     load.set("engine-1", 7);
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn histograms_count_into_buckets_of_ms() {
+fn histograms_count_into_millisecond_buckets() {
     let registry = Registry::new();
     let first_token = registry.histograms_ms("first_token_ms", "Time to first token", "length");
     first_token.observe("1k", 30.0);
-    first_token.with("1k").observe(70.0);
+    first_token.with_label_value("1k").observe(70.0);
     let text = registry.encode();
     let line = "mgs_first_token_ms_bucket{le=\"50.0\",length=\"1k\"} 1";
     assert!(text.contains(line), "{text}");
--- a/crates/mgs-relay/src/calls.rs
+++ b/crates/mgs-relay/src/calls.rs
@@ -3,8 +3,8 @@
 //! Each call is paid for, and the store bears so many a second from all gateways together, so an operator must see what
 //! makes them.
 
-use mgs_observe::metrics::CounterTable;
 use mgs_observe::metrics::Counters;
+use mgs_observe::metrics::TwoLabelCounters;
 
 use crate::source::Topic;
 
@@ -14,7 +14,7 @@
     /// Rows that can't be understood, by what is wrong with them.
     pub bad_rows: Counters,
     /// Calls to the store by topic and reason.
-    pub store_calls: CounterTable,
+    pub store_calls: TwoLabelCounters,
     /// Times at which the store was found to have come back from an older copy, by topic.
     pub store_rollbacks: Counters,
 }
@@ -53,11 +53,11 @@
 /// Counts the calls for one topic.
 pub(crate) struct Calls {
     topic: Topic,
-    counters: CounterTable,
+    counters: TwoLabelCounters,
 }
 
 impl Calls {
-    pub(crate) fn new(topic: Topic, counters: CounterTable) -> Self {
+    pub(crate) fn new(topic: Topic, counters: TwoLabelCounters) -> Self {
         Self { topic, counters }
     }
 
--- a/crates/mgs-relay/src/metrics.rs
+++ b/crates/mgs-relay/src/metrics.rs
@@ -1,12 +1,12 @@
 //! Counters and histograms of the path of a request.
 
 use mgs_observe::metrics::Counter;
-use mgs_observe::metrics::CounterTable;
 use mgs_observe::metrics::Counters;
 use mgs_observe::metrics::Gauge;
 use mgs_observe::metrics::HistogramMs;
 use mgs_observe::metrics::HistogramsMs;
 use mgs_observe::metrics::Registry;
+use mgs_observe::metrics::TwoLabelCounters;
 
 /// Prompt lengths by which the first token's time is told apart, in tokens, with their labels.
 const LENGTHS: [(u64, &str); 4] = [
@@ -37,7 +37,7 @@
     /// Requests by outcome.
     pub(crate) requests: Counters,
     /// Prompts by size and final outcome.
-    pub(crate) outcomes: CounterTable,
+    pub(crate) outcomes: TwoLabelCounters,
     /// Requests that ended without an endpoint's answer, by reason.
     pub(crate) refusals: Counters,
     /// Second tries, by reason.
@@ -89,7 +89,7 @@
     /// Rows of the store that name nothing to use, by what is wrong with them.
     pub bad_rows: Counters,
     /// Calls to the store by topic and why they were made.
-    pub store_calls: CounterTable,
+    pub store_calls: TwoLabelCounters,
     /// Times at which the store was found to have come back from an older copy, by topic.
     pub store_rollbacks: Counters,
     /// Messages of peers that couldn't be read or sent.
@@ -101,7 +101,7 @@
     pub fn new(registry: &Registry) -> Self {
         Self {
             requests: registry.counters("relay_requests", "Requests, by outcome", "outcome"),
-            outcomes: registry.table(
+            outcomes: registry.two_label_counters(
                 "relay_outcomes",
                 "Prompts, by size in read tokens and final outcome",
                 ["size", "outcome"],
@@ -159,7 +159,7 @@
                 "Rows of the store that name nothing to use",
                 "fault",
             ),
-            store_calls: registry.table(
+            store_calls: registry.two_label_counters(
                 "relay_store_calls",
                 "Calls to the store, by topic and reason",
                 ["topic", "reason"],
--- a/crates/mgs-routing/benches/decision.rs
+++ b/crates/mgs-routing/benches/decision.rs
@@ -126,7 +126,7 @@
         zone: "zone-0".into(),
         ..Options::default()
     });
-    fleet.settings(settings);
+    fleet.apply_settings(settings);
     let keys: Vec<_> = fleet
         .view()
         .endpoints
@@ -135,7 +135,7 @@
         .map(|e| e.key)
         .collect();
     for key in keys {
-        fleet.welcome(key, 1, "");
+        fleet.apply_welcome(key, 1, "");
         let report = LoadReport {
             incarnation: 1,
             report: 1,
@@ -148,7 +148,7 @@
             cached_hashes: (0..u64::from(key.0 % 20)).collect(),
             ..LoadReport::default()
         };
-        fleet.report(REPORTED_MS, key, &report);
+        fleet.apply_report(REPORTED_MS, key, &report);
     }
     fleet.view()
 }
--- a/crates/mgs-routing/benches/trial/run.rs
+++ b/crates/mgs-routing/benches/trial/run.rs
@@ -183,9 +183,9 @@
                 zone: ZONES[i % 3].into(),
                 ..fleet::Options::default()
             });
-            fleet.settings(&settings);
+            fleet.apply_settings(&settings);
             for key in 0..ENGINES {
-                fleet.welcome(EndpointKey(key as u32), 1, "");
+                fleet.apply_welcome(EndpointKey(key as u32), 1, "");
             }
             admission.settings(0, &settings);
             let view = fleet.view();
@@ -444,7 +444,7 @@
         };
         for gateway in &mut self.gateways {
             let key = EndpointKey(engine as u32);
-            gateway.fleet.report(now_ms, key, &report);
+            gateway.fleet.apply_report(now_ms, key, &report);
             gateway.view = gateway.fleet.view();
         }
         self.at(now_ms + REPORT_MS, Happening::Report(engine));
--- a/crates/mgs-routing/src/candidate.rs
+++ b/crates/mgs-routing/src/candidate.rs
@@ -1,6 +1,6 @@
 //! Endpoints that could serve a request.
 
-use mgs_fleet::cache::leading;
+use mgs_fleet::cache::cached_prefix_len;
 use mgs_fleet::view::Endpoint;
 use mgs_fleet::view::View;
 use mgs_schema::prefix::BLOCK_TOKENS;
@@ -56,6 +56,6 @@
 
 /// Tokens of the prompt that are believed to be cached at the endpoint.
 pub fn cached_tokens(endpoint: &Endpoint, ask: &Ask<'_>) -> u64 {
-    let blocks = leading(&endpoint.cached, ask.prefix_hashes) as u64;
+    let blocks = cached_prefix_len(&endpoint.cached, ask.prefix_hashes) as u64;
     (blocks * BLOCK_TOKENS).min(ask.prompt_tokens)
 }
--- a/crates/mgs-sidecar/src/sidecar.rs
+++ b/crates/mgs-sidecar/src/sidecar.rs
@@ -12,7 +12,7 @@
 use mgs_ledger::cache;
 use mgs_ledger::ledger;
 use mgs_observe::admin;
-use mgs_observe::admin::Admin;
+use mgs_observe::admin::AdminServer;
 use mgs_observe::admin::Health;
 use mgs_observe::metrics::Registry;
 use mgs_platform::host::Hosts;
@@ -146,7 +146,7 @@
     shared: Arc<Shared>,
     server: Option<Server>,
     address: SocketAddr,
-    admin: Option<Admin>,
+    admin: Option<AdminServer>,
     threads: Vec<JoinHandle<()>>,
     _runtime: Runtime,
 }
@@ -252,7 +252,7 @@
 
     /// Where operators reach it.
     pub fn admin_address(&self) -> Option<SocketAddr> {
-        self.admin.as_ref().map(Admin::address)
+        self.admin.as_ref().map(AdminServer::address)
     }
 
     /// Number that this start has and no other.
--- a/src/command/process.rs
+++ b/src/command/process.rs
@@ -6,10 +6,10 @@
 
 use clap::Arg;
 use mgs_observe::admin;
-use mgs_observe::admin::Admin;
+use mgs_observe::admin::AdminServer;
 use mgs_observe::admin::Health;
 use mgs_observe::logs;
-use mgs_observe::logs::Logs;
+use mgs_observe::logs::LogGuard;
 use mgs_observe::metrics::Registry;
 use mgs_platform::http;
 use serde::Serialize;
@@ -80,7 +80,7 @@
 /// Reads what [`log_argument`] declares.
 pub fn log_options(values: &mut Values<'_>) -> logs::Options {
     let level = values.text(LOG_LEVEL);
-    if logs::check(&level).is_err() {
+    if logs::check_filter(&level).is_err() {
         let advice = "give error, warn, info, debug, trace or off, or MODULE=LEVEL, by commas";
         values.fault(LOG_LEVEL, advice);
     }
@@ -141,8 +141,8 @@
 }
 
 /// Starts the log.
-pub fn start_log(options: &logs::Options) -> Result<Logs, Error> {
-    logs::start(options).map_err(|error| Error::Failed(error.to_string()))
+pub fn start_log(options: &logs::Options) -> Result<LogGuard, Error> {
+    logs::start_stderr(options).map_err(|error| Error::Failed(error.to_string()))
 }
 
 /// Starts the operators' server of a role.
@@ -150,7 +150,7 @@
     listen: SocketAddr,
     registry: Registry,
     health: Arc<dyn Health>,
-) -> Result<Admin, Error> {
+) -> Result<AdminServer, Error> {
     let options = admin::Options {
         listen: listen.to_string(),
     };
--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -117,7 +117,7 @@
     let mut values = Values::new(matches);
     let path = settings_path(&mut values);
     let level = values.text(LOG_LEVEL);
-    if logs::check(&level).is_err() {
+    if logs::check_filter(&level).is_err() {
         values.fault(LOG_LEVEL, "give a level or a filter by module");
     }
     let metrics_port = values.number(METRICS_PORT, 1..=u16::MAX);
@@ -127,7 +127,7 @@
     let failed = |error: String| Error::Failed(error);
     let settings = Settings::read(&path).map_err(|error| failed(error.to_string()))?;
     let _logs =
-        logs::start_bounded(&logs::Options { level }).map_err(|error| failed(error.to_string()))?;
+        logs::start_stdout(&logs::Options { level }).map_err(|error| failed(error.to_string()))?;
     serve(path, settings, Figures { placing, turns }, metrics_port)
 }
 
