--- a/crates/mgs-backpressure/src/limit.rs
+++ b/crates/mgs-backpressure/src/limit.rs
@@ -99,7 +99,7 @@
         if is_open {
             return 0.0;
         }
-        // A client that retries may reach any gateway, so this is the time until any of them may send.
+        // A client that retries may reach any gateway, so the wait follows from the whole limit.
         let per_s = limit_per_s.max(context.options.min_per_s);
         (1.0 - self.available_requests).max(1.0) / per_s * 1e3
     }
--- a/crates/mgs-backpressure/src/peer_update.rs
+++ b/crates/mgs-backpressure/src/peer_update.rs
@@ -9,8 +9,8 @@
 pub struct LimitUpdate {
     /// Requests per second; `None` if the limit was removed.
     pub per_s: Option<f64>,
-    /// Lower bound of when the endpoint sent the response, in milliseconds: for a limit, when its
-    /// response arrived; for a removal, when the request was sent.
+    /// When the response with the limit arrived or, for a removal, when the request was sent whose
+    /// response carried none: the endpoint removed the limit after that. In milliseconds.
     pub at_ms: f64,
 }
 
--- a/crates/mgs-backpressure/src/share.rs
+++ b/crates/mgs-backpressure/src/share.rs
@@ -57,8 +57,13 @@
     ///     gateways.allocation(IncarnationHash(7), 1.0, 0.0, &options).is_holder
     /// };
     /// // Three of four gateways may use a limit of one request per second.
-    /// let held = [is_holder(1, &[2, 3, 4]), is_holder(2, &[1, 3, 4]), is_holder(3, &[1, 2, 4]), is_holder(4, &[1, 2, 3])];
-    /// assert_eq!(held.iter().filter(|held| **held).count(), 3);
+    /// let holders = [
+    ///     is_holder(1, &[2, 3, 4]),
+    ///     is_holder(2, &[1, 3, 4]),
+    ///     is_holder(3, &[1, 2, 4]),
+    ///     is_holder(4, &[1, 2, 3]),
+    /// ];
+    /// assert_eq!(holders.iter().filter(|is_holder| **is_holder).count(), 3);
     /// ```
     pub fn allocation(
         &self,
--- a/crates/mgs-backpressure/src/table.rs
+++ b/crates/mgs-backpressure/src/table.rs
@@ -120,8 +120,8 @@
 /// use mgs_backpressure::advice::Field;
 /// use mgs_backpressure::options::Options;
 /// use mgs_backpressure::share::Gateways;
-/// use mgs_backpressure::table::IncarnationHash;
 /// use mgs_backpressure::table::Backpressure;
+/// use mgs_backpressure::table::IncarnationHash;
 ///
 /// let mut table = Backpressure::new(Options::default());
 /// table.set_gateways(Gateways { count: Some(1), ..Gateways::default() });
--- a/crates/mgs-fleet/src/subset.rs
+++ b/crates/mgs-fleet/src/subset.rs
@@ -72,8 +72,8 @@
     own_zone.sort_by_key(|i| rank(*i));
     other_zones.sort_by_key(|i| rank(*i));
     let spill_over = share / OTHER_ZONES_DIVISOR;
-    let own_zone_min = own_zone.len().min(share - spill_over);
-    let from_other_zones = other_zones.len().min(share - own_zone_min);
+    let reserved_own_zone = own_zone.len().min(share - spill_over);
+    let from_other_zones = other_zones.len().min(share - reserved_own_zone);
     let from_own_zone = own_zone.len().min(share - from_other_zones);
     selected.extend(&own_zone[..from_own_zone]);
     selected.extend(&other_zones[..from_other_zones]);
--- a/crates/mgs-fleet/tests/fleet.rs
+++ b/crates/mgs-fleet/tests/fleet.rs
@@ -219,15 +219,12 @@
     for (i, row) in rows.iter_mut().enumerate() {
         row.models = vec![format!("model-{}", i % 6)];
     }
-    let subset_names = subset_names("gateway-1", rows);
+    let names = subset_names("gateway-1", rows);
     let bound = Options::default().subset_max;
-    assert_eq!(subset_names.len(), bound);
+    assert_eq!(names.len(), bound);
     let of_model = |model: usize| {
         let number = |name: &String| name["engine-".len()..].parse::<usize>().unwrap();
-        subset_names
-            .iter()
-            .filter(|n| number(n) % 6 == model)
-            .count()
+        names.iter().filter(|n| number(n) % 6 == model).count()
     };
     assert!((0..6).all(|model| of_model(model) == bound / 6));
 }
--- a/crates/mgs-observe/src/metrics.rs
+++ b/crates/mgs-observe/src/metrics.rs
@@ -84,7 +84,11 @@
     /// use mgs_observe::metrics::Registry;
     ///
     /// let registry = Registry::new();
-    /// let ends = registry.two_label_counters("ends", "Requests, by size and outcome", ["size", "outcome"]);
+    /// let ends = registry.two_label_counters(
+    ///     "ends",
+    ///     "Requests, by size and outcome",
+    ///     ["size", "outcome"],
+    /// );
     /// ends.inc(["under_2k", "answered"]);
     /// assert!(registry
     ///     .encode()
--- a/crates/mgs-quarantine/src/fingerprint.rs
+++ b/crates/mgs-quarantine/src/fingerprint.rs
@@ -39,7 +39,10 @@
     ///
     /// let request = RequestIdentity { target: "/a", body: b"bc", ..RequestIdentity::default() };
     /// assert_eq!(request.fingerprint(), request.fingerprint());
-    /// assert_ne!(request.fingerprint(), RequestIdentity { target: "/ab", body: b"c", ..request }.fingerprint());
+    /// assert_ne!(
+    ///     request.fingerprint(),
+    ///     RequestIdentity { target: "/ab", body: b"c", ..request }.fingerprint()
+    /// );
     /// ```
     pub fn fingerprint(&self) -> Fingerprint {
         let mut hasher = Xxh3::new();
--- a/crates/mgs-quarantine/src/table.rs
+++ b/crates/mgs-quarantine/src/table.rs
@@ -230,7 +230,7 @@
         })
     }
 
-    /// Crashes required for a hold, depending on how many endpoints ended under other requests.
+    /// Crashes required for a hold, depending on how many unrelated endpoints ended.
     fn hold_threshold(&self, record: &Record) -> usize {
         if record.has_recurred {
             return self.options.hold_crashes;
--- a/crates/mgs-quarantine/tests/fleet.rs
+++ b/crates/mgs-quarantine/tests/fleet.rs
@@ -469,7 +469,8 @@
     );
 }
 
-/// Checks that the simulation detects gateways that don't share records.
+/// The simulation must detect faulty gateways: those that share no records here, and those that
+/// ignore progress in the next test.
 #[test]
 fn gateways_that_share_no_records_lose_more_endpoints() {
     let scenario = Scenario {
