--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use mgs_backpressure::table::Table;
+use mgs_backpressure::table::Backpressure;
 use mgs_fleet::view::EndpointKey;
 use mgs_placing::length_counts::LengthBand;
 use mgs_placing::length_counts::LengthCounter;
@@ -80,7 +80,7 @@
     /// Endpoints that refuse to read parts of prompts that other endpoints answer.
     pub(crate) helpers: RefCell<HelperRefusals>,
     /// Rate limits, pauses and shutdown notices that endpoints ask their senders to observe.
-    pub(crate) backpressure: RefCell<Table>,
+    pub(crate) backpressure: RefCell<Backpressure>,
     /// Budget of retries.
     pub(crate) budget: RefCell<RetryBudget>,
     /// Probes in flight that check whether an endpoint's process has ended.
--- a/crates/mgs-relay/src/crash_gossip.rs
+++ b/crates/mgs-relay/src/crash_gossip.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mgs_quarantine::key::WorkKey;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::fingerprint::Fingerprint;
+use mgs_quarantine::table::SharedRecord;
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 use tokio::time::Instant;
@@ -32,7 +32,7 @@
 
 /// Sends reports until the process ends.
 pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, peer_table: Rc<RefCell<PeerTable>>) {
-    let mut to_repeat: Vec<WorkKey> = Vec::new();
+    let mut to_repeat: Vec<Fingerprint> = Vec::new();
     let mut random_peer_at = Instant::now() + RANDOM_PEER_INTERVAL;
     let gossip = CrashGossip {
         core,
@@ -72,7 +72,7 @@
             .recipients(&self.core, now_ms, true)
     }
 
-    async fn send_to_all(&self, works: &[WorkKey]) {
+    async fn send_to_all(&self, works: &[Fingerprint]) {
         if !works.is_empty() {
             self.send(works, &self.all_peers()).await;
         }
@@ -97,7 +97,7 @@
         self.send(&grave, &all_peers[index..=index]).await;
     }
 
-    async fn send(&self, works: &[WorkKey], peers: &[SocketAddr]) {
+    async fn send(&self, works: &[Fingerprint], peers: &[SocketAddr]) {
         let reports = self.core.crashes.reports(works, self.core.now_ms());
         for message in split_into_messages(self.core.incarnation, reports) {
             let kind = TrafficKind::CrashMessages;
@@ -107,7 +107,7 @@
 }
 
 /// Encodes reports as messages that fit a datagram each.
-fn split_into_messages(from: u64, works: Vec<Told>) -> Vec<Vec<u8>> {
+fn split_into_messages(from: u64, works: Vec<SharedRecord>) -> Vec<Vec<u8>> {
     let mut messages = Vec::new();
     let mut rest = works;
     while !rest.is_empty() {
--- a/crates/mgs-relay/src/holds.rs
+++ b/crates/mgs-relay/src/holds.rs
@@ -9,24 +9,24 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-use mgs_quarantine::key::WorkKey;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::fingerprint::Fingerprint;
+use mgs_quarantine::table::SharedRecord;
 use tokio::sync::Notify;
 
 /// A change of a held work in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HoldUpdate {
     /// The work is held.
-    Held(Told),
+    Held(SharedRecord),
     /// The work was held and has been released.
-    LetGo(WorkKey),
+    LetGo(Fingerprint),
 }
 
 /// A write to the store about a work.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HoldWrite {
     /// Write that the work is held.
-    Hold(Told),
+    Hold(SharedRecord),
     /// Write that the work is no longer held.
     LetGo,
 }
@@ -36,7 +36,7 @@
 pub struct Holds {
     updates: Mutex<Vec<HoldUpdate>>,
     updates_changed: Notify,
-    writes: Mutex<BTreeMap<WorkKey, HoldWrite>>,
+    writes: Mutex<BTreeMap<Fingerprint, HoldWrite>>,
     writes_changed: Notify,
     rewrite_requested: Notify,
 }
@@ -61,7 +61,7 @@
     }
 
     /// Requests a write; it replaces a pending one for the same work.
-    pub fn write(&self, work: WorkKey, write: HoldWrite) {
+    pub fn write(&self, work: Fingerprint, write: HoldWrite) {
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
         writes.insert(work, write);
         drop(writes);
@@ -69,7 +69,7 @@
     }
 
     /// Requests a failed write again, unless another one for the same work is pending.
-    pub fn requeue_write(&self, work: WorkKey, write: HoldWrite) {
+    pub fn requeue_write(&self, work: Fingerprint, write: HoldWrite) {
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
         writes.entry(work).or_insert(write);
         drop(writes);
@@ -77,7 +77,7 @@
     }
 
     /// Waits for pending writes and takes them.
-    pub async fn next_writes(&self) -> BTreeMap<WorkKey, HoldWrite> {
+    pub async fn next_writes(&self) -> BTreeMap<Fingerprint, HoldWrite> {
         self.writes_changed.notified().await;
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *writes)
--- a/crates/mgs-relay/src/metrics.rs
+++ b/crates/mgs-relay/src/metrics.rs
@@ -1,12 +1,12 @@
 //! Metrics of the request path.
 
 use mgs_observe::metrics::Counter;
-use mgs_observe::metrics::CounterTable;
 use mgs_observe::metrics::Counters;
 use mgs_observe::metrics::Gauge;
 use mgs_observe::metrics::HistogramMs;
 use mgs_observe::metrics::HistogramsMs;
 use mgs_observe::metrics::Registry;
+use mgs_observe::metrics::TwoLabelCounters;
 
 /// Buckets of prompt length for the time to the first token: exclusive upper bounds in tokens, with
 /// their labels.
@@ -39,7 +39,7 @@
     /// Requests by outcome.
     pub(crate) requests: Counters,
     /// Prompts by size and final outcome.
-    pub(crate) outcomes: CounterTable,
+    pub(crate) outcomes: TwoLabelCounters,
     /// Requests that ended without an endpoint's answer, by reason.
     pub(crate) refusals: Counters,
     /// Retries, by reason.
@@ -91,7 +91,7 @@
     /// Rows of the store that can't be used, by fault.
     pub bad_rows: Counters,
     /// Calls to the store, by topic and reason.
-    pub store_calls: CounterTable,
+    pub store_calls: TwoLabelCounters,
     /// Detected restorations of the store from an older copy, by topic.
     pub store_rollbacks: Counters,
     /// Messages that couldn't be received, decoded or sent.
@@ -103,7 +103,7 @@
     pub fn new(registry: &Registry) -> Self {
         Self {
             requests: registry.counters("relay_requests", "Requests, by outcome", "outcome"),
-            outcomes: registry.table(
+            outcomes: registry.two_label_counters(
                 "relay_outcomes",
                 "Prompts, by size in read tokens and final outcome",
                 ["size", "outcome"],
@@ -165,7 +165,7 @@
                 "Rows of the store that name nothing to use",
                 "fault",
             ),
-            store_calls: registry.table(
+            store_calls: registry.two_label_counters(
                 "relay_store_calls",
                 "Calls to the store, by topic and reason",
                 ["topic", "reason"],
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -16,7 +16,7 @@
 use mgs_placing::load_table::PEER_SILENCE_MS;
 use mgs_placing::peer_message::PeerMessage;
 use mgs_placing::peer_message::TopicVersion;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::table::SharedRecord;
 use serde::Deserialize;
 use serde::Serialize;
 use tokio::net::UdpSocket;
@@ -52,7 +52,7 @@
         /// Incarnation of the sender.
         from: u64,
         /// What the sender knows of them, or a part of it.
-        works: Vec<Told>,
+        works: Vec<SharedRecord>,
     },
 }
 
--- a/crates/mgs-relay/src/quarantine.rs
+++ b/crates/mgs-relay/src/quarantine.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use mgs_fleet::view::EndpointKey;
-use mgs_quarantine::key::WorkKey;
+use mgs_quarantine::fingerprint::Fingerprint;
 use mgs_quarantine::options::Options;
 use mgs_quarantine::table::Quarantine;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::table::SharedRecord;
 use mgs_quarantine::table::Verdict;
 use tokio::sync::Notify;
 use tokio::time::sleep;
@@ -82,7 +82,7 @@
 pub(crate) struct CrashTracker {
     table: RefCell<Quarantine>,
     /// Works under which this gateway itself saw an endpoint crash.
-    witnessed: RefCell<BTreeSet<WorkKey>>,
+    witnessed: RefCell<BTreeSet<Fingerprint>>,
     /// Since when endpoints refuse connections from here, in milliseconds.
     refuse_since_ms: RefCell<HashMap<EndpointKey, f64>>,
     /// The last crash that counts, by the identifier of its endpoint.
@@ -128,23 +128,23 @@
     }
 
     /// Takes the works whose record has changed.
-    pub(crate) fn take_fresh(&self) -> Vec<WorkKey> {
-        self.table.borrow_mut().take_fresh()
+    pub(crate) fn take_fresh(&self) -> Vec<Fingerprint> {
+        self.table.borrow_mut().take_changed()
     }
 
     /// Records of works, as reported to peers.
-    pub(crate) fn reports(&self, keys: &[WorkKey], now_ms: f64) -> Vec<Told> {
+    pub(crate) fn reports(&self, keys: &[Fingerprint], now_ms: f64) -> Vec<SharedRecord> {
         let table = self.table.borrow();
-        let told = keys.iter().map(|key| table.told(*key, now_ms));
+        let told = keys.iter().map(|key| table.shared_record(*key, now_ms));
         told.flatten().collect()
     }
 
     /// Works that peers must know: held ones, and those that may soon be.
-    pub(crate) fn confined_or_held(&self) -> Vec<WorkKey> {
+    pub(crate) fn confined_or_held(&self) -> Vec<Fingerprint> {
         let table = self.table.borrow();
-        let is_confined_or_held = |key: &WorkKey| table.verdict(*key) != Verdict::Free;
+        let is_confined_or_held = |key: &Fingerprint| table.verdict(*key) != Verdict::Allowed;
         table
-            .keys()
+            .fingerprints()
             .into_iter()
             .filter(is_confined_or_held)
             .collect()
@@ -164,14 +164,14 @@
 
 impl Core {
     /// What is allowed for a request, or the refusal if its work is held.
-    pub(crate) fn permission(&self, work: WorkKey) -> Result<Permission, Refusal> {
+    pub(crate) fn permission(&self, work: Fingerprint) -> Result<Permission, Refusal> {
         let verdict = self.crashes.table.borrow().verdict(work);
         Self::permission_by(verdict)
     }
 
     fn permission_by(verdict: Verdict) -> Result<Permission, Refusal> {
         match verdict {
-            Verdict::Free => Ok(Permission::Free),
+            Verdict::Allowed => Ok(Permission::Free),
             Verdict::Confined => Ok(Permission::Confined),
             Verdict::Held => Err(Refusal::after(Fault::Quarantined, RETRY_AFTER_HELD_MS)),
         }
@@ -179,7 +179,7 @@
 
     /// Like [`Core::permission`], for a request that begins and may become the trial of a held
     /// work. Only one gateway runs the trial: the first by rank among those that hear each other.
-    pub(crate) fn permission_to_begin(&self, work: WorkKey) -> Result<Permission, Refusal> {
+    pub(crate) fn permission_to_begin(&self, work: Fingerprint) -> Result<Permission, Refusal> {
         let verdict = self.begin(work);
         let refused = match Self::permission_by(verdict) {
             Ok(permission) => return Ok(permission),
@@ -201,17 +201,17 @@
     }
 
     /// Records that a request of a work begins; returns the verdict.
-    fn begin(&self, work: WorkKey) -> Verdict {
+    fn begin(&self, work: Fingerprint) -> Verdict {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
-        let verdict = table.begin(work, now_ms);
+        let verdict = table.begin_request(work, now_ms);
         drop(table);
         self.apply_verdict_changes();
         verdict
     }
 
     /// Whether this gateway ranks before all peers that it hears, for one work.
-    fn is_first_for(&self, work: WorkKey) -> bool {
+    fn is_first_for(&self, work: Fingerprint) -> bool {
         let rank = |gateway: u64| xxh3_64_with_seed(&work.0.to_le_bytes(), gateway);
         let own = rank(self.incarnation);
         let board = self.board.borrow();
@@ -249,8 +249,12 @@
     }
 
     /// Writes to the store whether a work is held, with its record.
-    fn write_hold(&self, work: WorkKey, is_held: bool) {
-        let told = self.crashes.table.borrow().told(work, self.now_ms());
+    fn write_hold(&self, work: Fingerprint, is_held: bool) {
+        let told = self
+            .crashes
+            .table
+            .borrow()
+            .shared_record(work, self.now_ms());
         let write = match told.filter(|_| is_held) {
             Some(told) => HoldWrite::Hold(told),
             None => HoldWrite::LetGo,
@@ -276,7 +280,7 @@
         }
         let incarnation = run.endpoint.facts.incarnation.hash_64();
         let mut table = self.crashes.table.borrow_mut();
-        table.crashed(run.work, incarnation, run.reached, at_ms);
+        table.record_crash(run.work, incarnation, run.reached, at_ms);
         drop(table);
         self.crashes.witnessed.borrow_mut().insert(run.work);
         self.apply_verdict_changes();
@@ -284,44 +288,44 @@
     }
 
     /// Records that a helper has crashed together with the endpoint of a run.
-    pub(crate) fn record_helper_crash(&self, work: WorkKey, helper: &Endpoint, at_ms: f64) {
+    pub(crate) fn record_helper_crash(&self, work: Fingerprint, helper: &Endpoint, at_ms: f64) {
         let incarnation = helper.facts.incarnation.hash_64();
         let mut table = self.crashes.table.borrow_mut();
-        table.crashed_beside(work, incarnation, at_ms);
+        table.record_helper_crash(work, incarnation, at_ms);
         self.crashes.urgent.notify_one();
     }
 
     /// Records the progress of a run of a work; `events` is called only if any work is tracked.
-    pub(crate) fn record_progress(&self, work: WorkKey, events: impl FnOnce() -> u32) {
+    pub(crate) fn record_progress(&self, work: Fingerprint, events: impl FnOnce() -> u32) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
         if !table.is_empty() {
-            table.reached(work, events(), now_ms);
+            table.record_progress(work, events(), now_ms);
         }
     }
 
     /// Records that a run of a work has completed.
-    pub(crate) fn record_completion(&self, work: WorkKey) {
+    pub(crate) fn record_completion(&self, work: Fingerprint) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
-        table.ended_whole(work, now_ms);
+        table.record_completion(work, now_ms);
     }
 
     /// Takes the crashes that a peer reports.
-    pub(crate) fn record_peer_crashes(&self, works: &[Told]) {
+    pub(crate) fn record_peer_crashes(&self, works: &[SharedRecord]) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
         for told in works {
-            table.hear(told, now_ms);
+            table.merge_shared(told, now_ms);
         }
         drop(table);
         self.apply_verdict_changes();
     }
 
     /// Releases a work: an operator released it, or it completed at another gateway.
-    fn release_work(&self, work: WorkKey) {
+    fn release_work(&self, work: Fingerprint) {
         let now_ms = self.now_ms();
-        self.crashes.table.borrow_mut().lift(work, now_ms);
+        self.crashes.table.borrow_mut().release(work, now_ms);
         self.apply_verdict_changes();
     }
 
@@ -386,7 +390,7 @@
     /// Logs which works are held or released now, and writes to the store those that this gateway
     /// witnessed.
     fn apply_verdict_changes(&self) {
-        let changed = self.crashes.table.borrow_mut().take_turned();
+        let changed = self.crashes.table.borrow_mut().take_hold_changes();
         for (work, is_held) in changed {
             if self.crashes.witnessed.borrow().contains(&work) {
                 self.write_hold(work, is_held);
@@ -418,8 +422,8 @@
         drop(refuse_since_ms);
         let endpoints = core.published.fleet().by_key.len();
         let mut table = core.crashes.table.borrow_mut();
-        table.know_endpoints(endpoints);
-        table.tidy(now_ms);
+        table.set_endpoint_count(endpoints);
+        table.prune(now_ms);
         let mut witnessed = core.crashes.witnessed.borrow_mut();
         witnessed.retain(|work| table.record(*work).is_some());
         core.metrics.held_works.set(table.held().len() as i64);
@@ -464,7 +468,7 @@
 pub(crate) fn barred_endpoints(
     fleet: &Fleet,
     service: &str,
-    work: WorkKey,
+    work: Fingerprint,
     tried: &[EndpointKey],
 ) -> Vec<EndpointKey> {
     let present = fleet.of_service(service).iter();
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 use displaydoc::Display;
-use mgs_backpressure::table::Table;
+use mgs_backpressure::table::Backpressure;
 use mgs_placing::dispatch;
 use mgs_placing::length_counts::LengthCounter;
 use mgs_placing::load_table::LoadTable;
@@ -181,7 +181,7 @@
         waiting: RefCell::new(HashMap::new()),
         outliers: Outliers::new(options.outliers),
         helpers: RefCell::new(HelperRefusals::default()),
-        backpressure: RefCell::new(Table::new(options.backpressure.clone())),
+        backpressure: RefCell::new(Backpressure::new(options.backpressure.clone())),
         budget: RefCell::new(RetryBudget::default()),
         looks: RefCell::new(EndpointProbes::default()),
         crashes: CrashTracker::new(options.quarantine.clone()),
--- a/crates/mgs-relay/src/source.rs
+++ b/crates/mgs-relay/src/source.rs
@@ -5,8 +5,8 @@
 use std::pin::Pin;
 
 use displaydoc::Display;
-use mgs_quarantine::key::WorkKey;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::fingerprint::Fingerprint;
+use mgs_quarantine::table::SharedRecord;
 use serde::Deserialize;
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
@@ -196,9 +196,9 @@
         name: String,
     },
     /// A work that crashes endpoints was put in quarantine.
-    Held(Told),
+    Held(SharedRecord),
     /// A work was released from quarantine.
-    LetGo(WorkKey),
+    LetGo(Fingerprint),
 }
 
 /// The result of one read.
@@ -250,10 +250,10 @@
     fn register(&mut self, name: &str, address: SocketAddr) -> SourceFuture<'_, ()>;
 
     /// Writes that a work is quarantined.
-    fn put_hold(&mut self, hold: &Told) -> SourceFuture<'_, ()>;
+    fn put_hold(&mut self, hold: &SharedRecord) -> SourceFuture<'_, ()>;
 
     /// Removes the entry of a quarantined work.
-    fn remove_hold(&mut self, work: WorkKey) -> SourceFuture<'_, ()>;
+    fn remove_hold(&mut self, work: Fingerprint) -> SourceFuture<'_, ()>;
 }
 
 /// Creates connections to the store.
--- a/crates/mgs-relay/src/store_calls.rs
+++ b/crates/mgs-relay/src/store_calls.rs
@@ -3,8 +3,8 @@
 //! Each call is paid for, and the store handles a limited number per second from all gateways
 //! together, so operators need to see what causes them.
 
-use mgs_observe::metrics::CounterTable;
 use mgs_observe::metrics::Counters;
+use mgs_observe::metrics::TwoLabelCounters;
 
 use crate::source::Topic;
 
@@ -14,7 +14,7 @@
     /// Rows that can't be parsed, by fault.
     pub bad_rows: Counters,
     /// Calls to the store by topic and reason.
-    pub store_calls: CounterTable,
+    pub store_calls: TwoLabelCounters,
     /// Detected rollbacks of the store to an older copy, by topic.
     pub store_rollbacks: Counters,
 }
@@ -54,11 +54,11 @@
 /// Counts the calls of one topic.
 pub(crate) struct StoreCalls {
     topic: Topic,
-    counters: CounterTable,
+    counters: TwoLabelCounters,
 }
 
 impl StoreCalls {
-    pub(crate) fn new(topic: Topic, counters: CounterTable) -> Self {
+    pub(crate) fn new(topic: Topic, counters: TwoLabelCounters) -> Self {
         Self { topic, counters }
     }
 
