--- a/src/command/quarantine.rs
+++ b/src/command/quarantine.rs
@@ -10,8 +10,8 @@
 use marigoldstage_platform::lift_quarantine;
 use marigoldstage_platform::list_quarantined;
 use marigoldstage_platform::QuarantineError;
-use mgs_quarantine::key::WorkKey;
-use mgs_quarantine::table::Told;
+use mgs_quarantine::fingerprint::Fingerprint;
+use mgs_quarantine::table::SharedRecord;
 use tokio::runtime::Builder;
 use tokio::runtime::Runtime;
 use tokio::task::LocalSet;
@@ -66,7 +66,7 @@
         )
 }
 
-fn parse_work_key(text: &str) -> Result<WorkKey, String> {
+fn parse_work_key(text: &str) -> Result<Fingerprint, String> {
     text.parse()
         .map_err(|_| "the key of a work has 32 hexadecimal digits".to_string())
 }
@@ -82,7 +82,7 @@
     match subcommand {
         "list" => list(store, out),
         _ => {
-            let work: &WorkKey = matches.get_one(WORK).expect("BUG: the parser requires it");
+            let work: &Fingerprint = matches.get_one(WORK).expect("BUG: the parser requires it");
             lift(store, *work, out)
         }
     }
@@ -93,11 +93,11 @@
     let holds = holds.map_err(hold_error)?;
     writeln!(out, "{:<32}  crashes  last, s ago  tried again", "work")?;
     for hold in &holds {
-        let was_tried = if hold.was_tried { "yes" } else { "no" };
+        let was_tried = if hold.trial_taken { "yes" } else { "no" };
         writeln!(
             out,
             "{}  {:>7}  {:>11}  {was_tried}",
-            hold.key,
+            hold.fingerprint,
             hold.crashes.len(),
             seconds_since_last_crash(hold)
         )?;
@@ -106,12 +106,12 @@
 }
 
 /// Time since the last crash, in seconds.
-fn seconds_since_last_crash(hold: &Told) -> u32 {
+fn seconds_since_last_crash(hold: &SharedRecord) -> u32 {
     let ages_ms = hold.crashes.iter().map(|crash| crash.age_ms);
     ages_ms.min().unwrap_or(0) / 1_000
 }
 
-fn lift(store: SocketAddr, work: WorkKey, out: &mut dyn Write) -> Result<(), Error> {
+fn lift(store: SocketAddr, work: Fingerprint, out: &mut dyn Write) -> Result<(), Error> {
     let lifted = LocalSet::new().block_on(&runtime()?, lift_quarantine(store, work));
     lifted.map_err(hold_error)?;
     writeln!(out, "the hold on {work} is lifted")?;
--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -19,8 +19,8 @@
 use mgs_observe::admin::Health;
 use mgs_observe::logs;
 use mgs_observe::metrics::Registry;
+use mgs_placing::dispatch;
 use mgs_placing::options;
-use mgs_placing::turn;
 use mgs_relay::follow;
 use mgs_relay::metrics::Metrics;
 use mgs_relay::relay;
@@ -118,16 +118,16 @@
     let mut values = SettingValues::new(matches);
     let path = settings_path(&mut values);
     let level = values.required_text(LOG_LEVEL);
-    if logs::check(&level).is_err() {
+    if logs::check_filter(&level).is_err() {
         values.reject(LOG_LEVEL, "give a level or a filter by module");
     }
     let metrics_port = values.number(METRICS_PORT, 1..=u16::MAX);
-    let placing = parameter_overrides(&mut values, PLACING, options::Options::with);
-    let turns = parameter_overrides(&mut values, TURNS, turn::Options::with);
+    let placing = parameter_overrides(&mut values, PLACING, options::PlacementOptions::with);
+    let turns = parameter_overrides(&mut values, TURNS, dispatch::DispatchOptions::with);
     values.finish()?;
     let command_error = |error: String| Error::Failed(error);
     let settings = Settings::read(&path).map_err(|error| command_error(error.to_string()))?;
-    let _logs = logs::start_bounded(&logs::Options { level })
+    let _logs = logs::start_stdout(&logs::Options { level })
         .map_err(|error| command_error(error.to_string()))?;
     serve(
         path,
@@ -139,8 +139,8 @@
 
 /// Parameters of placing and of the queueing order that the command line overrides.
 struct ParameterOverrides {
-    placing: options::Options,
-    turns: turn::Options,
+    placing: options::PlacementOptions,
+    turns: dispatch::DispatchOptions,
 }
 
 fn parameter_overrides<O: Default>(
@@ -190,8 +190,8 @@
     let factory = StoreSourceFactory {
         address: store.clone(),
     };
-    published.put_live(startup_options.live);
-    let counters = follow::Tallies {
+    published.put_live_settings(startup_options.live);
+    let counters = follow::StoreMetrics {
         bad_rows: metrics.bad_rows.clone(),
         store_calls: metrics.store_calls.clone(),
         store_rollbacks: metrics.store_rollbacks.clone(),
@@ -291,7 +291,7 @@
             log::warn!("changed listen addresses take effect only after a restart; all other settings are applied");
         }
         let reloaded_options = gateway_options(&settings);
-        self.published.put_live(reloaded_options.live);
+        self.published.put_live_settings(reloaded_options.live);
         self.store.set(reloaded_options.store);
         self.settings = settings;
     }
