--- a/crates/mgs-placing/tests/emulator/deployments.rs
+++ b/crates/mgs-placing/tests/emulator/deployments.rs
@@ -1,32 +1,33 @@
-//! Fleets and loads as on the sheets of the deployments.
+//! Engines, prompts and loads as on the deployments' specification sheets.
 
 use mgs_placing::model::EngineModel;
 
 use super::gateway::Deployment;
-use super::Audits;
+use super::AuditDistribution;
 use super::Phase;
-use super::Questions;
+use super::QuestionDistribution;
 
-/// The first deployments.
-pub(crate) fn first() -> Deployment {
+/// The first deployments, with the default figures of [`EngineModel`].
+pub(crate) fn first_deployment() -> Deployment {
     Deployment {
         engines: 21,
         model: EngineModel::default(),
-        audits: Audits {
+        audits: AuditDistribution {
             mean_tokens: 154_000.0,
-            spread: 0.51,
-            most_tokens: 290_000.0,
-            aim_ms: 3_000.0,
+            sigma: 0.51,
+            max_tokens: 290_000.0,
+            ttft_target_ms: 3_000.0,
         },
         questions: None,
-        places: usize::MAX,
-        plays: 6,
-        limited: None,
+        engine_slots: usize::MAX,
+        runs: 6,
+        rate_limit: None,
     }
 }
 
-/// A third of the grown ones.
-pub(crate) fn grown() -> Deployment {
+/// A third of a deployment that has grown, with longer audits and engines with fewer slots and less
+/// memory.
+pub(crate) fn grown_deployment() -> Deployment {
     Deployment {
         engines: 23,
         model: EngineModel {
@@ -34,55 +35,56 @@
             memory_tokens: 267_750,
             ..EngineModel::default()
         },
-        audits: Audits {
+        audits: AuditDistribution {
             mean_tokens: 220_000.0,
-            spread: 0.6,
-            most_tokens: 800_000.0,
-            aim_ms: 4_000.0,
+            sigma: 0.6,
+            max_tokens: 800_000.0,
+            ttft_target_ms: 4_000.0,
         },
         questions: None,
-        places: usize::MAX,
-        plays: 8,
-        limited: None,
+        engine_slots: usize::MAX,
+        runs: 8,
+        rate_limit: None,
     }
 }
 
-/// Ten seconds of long prompts that ask for more reading than all engines have, then short ones that need
-/// nearly all engines: the swing of the grown deployments' heaviest days.
+/// Ten seconds of long prompts that ask for more prefill than all engines can do, then questions
+/// that need nearly all engines: the load swing on days with the highest load.
 pub(crate) const GROWN_SWING: [Phase; 2] = [
     Phase {
-        length_ms: 9_500.0,
-        short_per_s: 13.0,
+        duration_ms: 9_500.0,
+        questions_per_s: 13.0,
         reviews_per_s: 2.7,
         audits_per_s: 3.5,
     },
     Phase {
-        length_ms: 6_000.0,
-        short_per_s: 100.0,
+        duration_ms: 6_000.0,
+        questions_per_s: 100.0,
         reviews_per_s: 1.3,
         audits_per_s: 0.1,
     },
 ];
 
-/// Ten seconds of long prompts, then ten of short ones: the swing of the users' calm days.
-pub(crate) const SWING: [Phase; 2] = [
+/// Ten seconds of long prompts, then ten of questions: the load swing on days with low
+/// load.
+pub(crate) const LOW_LOAD_SWING: [Phase; 2] = [
     Phase {
-        length_ms: 9_500.0,
-        short_per_s: 12.0,
+        duration_ms: 9_500.0,
+        questions_per_s: 12.0,
         reviews_per_s: 2.4,
         audits_per_s: 3.0,
     },
     Phase {
-        length_ms: 9_500.0,
-        short_per_s: 80.0,
+        duration_ms: 9_500.0,
+        questions_per_s: 80.0,
         reviews_per_s: 0.9,
         audits_per_s: 0.05,
     },
 ];
 
-/// An eighth of the deployments that were drawn from seeds: answers of up to 173 events, 48 ms a pass, so that the
-/// longest take 8.3 of the 10 s that clients wait.
-pub(crate) fn long_answers() -> Deployment {
+/// A deployment with long answers, as an eighth of those drawn at random have them: up to 173
+/// events at 48 ms for each pass, so that the longest take 8.3 s of the 10 s until the deadline.
+pub(crate) fn long_answers_deployment() -> Deployment {
     Deployment {
         engines: 23,
         model: EngineModel {
@@ -98,47 +100,48 @@
             usual_answer_tokens: 2_000.0,
             ..EngineModel::default()
         },
-        audits: Audits {
+        audits: AuditDistribution {
             mean_tokens: 296_630.0,
-            spread: 0.45,
-            most_tokens: 1_466_850.0,
-            aim_ms: 4_493.0,
+            sigma: 0.45,
+            max_tokens: 1_466_850.0,
+            ttft_target_ms: 4_493.0,
         },
-        questions: Some(Questions {
+        questions: Some(QuestionDistribution {
             mean_tokens: 6_245.0,
-            spread: 0.74,
-            most_tokens: 29_966.0,
+            sigma: 0.74,
+            max_tokens: 29_966.0,
             mean_events: 69.1,
-            events_spread: 0.7,
-            most_events: 172.8,
-            hint_spread: 0.5,
-            aim_ms: 266.0,
+            events_sigma: 0.7,
+            max_events: 172.8,
+            hint_sigma: 0.5,
+            ttft_target_ms: 266.0,
             pause_ms: 223.0,
         }),
-        places: 24,
-        plays: 6,
-        limited: None,
+        engine_slots: 24,
+        runs: 6,
+        rate_limit: None,
     }
 }
 
-/// Ten seconds of long prompts and ten of short ones, as many as those deployments got.
+/// Ten seconds of long prompts, then ten of questions, at the rates of deployments with long
+/// answers.
 pub(crate) const LONG_ANSWERS_SWING: [Phase; 2] = [
     Phase {
-        length_ms: 9_500.0,
-        short_per_s: 9.0,
+        duration_ms: 9_500.0,
+        questions_per_s: 9.0,
         reviews_per_s: 1.6,
         audits_per_s: 1.25,
     },
     Phase {
-        length_ms: 9_500.0,
-        short_per_s: 36.0,
+        duration_ms: 9_500.0,
+        questions_per_s: 36.0,
         reviews_per_s: 0.5,
         audits_per_s: 0.03,
     },
 ];
 
-/// A large one.
-pub(crate) fn large() -> Deployment {
+/// A large deployment.
+pub(crate) fn large_deployment() -> Deployment {
     Deployment {
         engines: 172,
         model: EngineModel {
@@ -149,40 +152,41 @@
             usual_answer_tokens: 1_800.0,
             ..EngineModel::default()
         },
-        audits: Audits {
+        audits: AuditDistribution {
             mean_tokens: 220_000.0,
-            spread: 0.55,
-            most_tokens: 700_000.0,
-            aim_ms: 4_000.0,
+            sigma: 0.55,
+            max_tokens: 700_000.0,
+            ttft_target_ms: 4_000.0,
         },
-        questions: Some(Questions {
+        questions: Some(QuestionDistribution {
             mean_tokens: 4_960.0,
-            spread: 0.9,
-            most_tokens: 23_800.0,
+            sigma: 0.9,
+            max_tokens: 23_800.0,
             mean_events: 23.5,
-            events_spread: 0.7,
-            most_events: 58.8,
-            hint_spread: 0.5,
-            aim_ms: 400.0,
+            events_sigma: 0.7,
+            max_events: 58.8,
+            hint_sigma: 0.5,
+            ttft_target_ms: 400.0,
             pause_ms: 300.0,
         }),
-        places: 10,
-        plays: 1,
-        limited: None,
+        engine_slots: 10,
+        runs: 1,
+        rate_limit: None,
     }
 }
 
-/// Five seconds of long prompts and five of short ones, as many as a large one gets on a calm day.
+/// Five seconds of long prompts, then five of questions, at the rates of a large deployment on
+/// a day with low load.
 pub(crate) const LARGE_SWING: [Phase; 2] = [
     Phase {
-        length_ms: 5_000.0,
-        short_per_s: 100.0,
+        duration_ms: 5_000.0,
+        questions_per_s: 100.0,
         reviews_per_s: 20.0,
         audits_per_s: 12.0,
     },
     Phase {
-        length_ms: 5_000.0,
-        short_per_s: 400.0,
+        duration_ms: 5_000.0,
+        questions_per_s: 400.0,
         reviews_per_s: 15.0,
         audits_per_s: 1.0,
     },
--- a/crates/mgs-placing/tests/emulator/gateway.rs
+++ b/crates/mgs-placing/tests/emulator/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway before emulated engines: it places prompts as the relay does.
+//! A gateway in front of emulated engines, which places and dispatches prompts as the relay does.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -34,245 +34,280 @@
 use mgs_placing::zone::ScopedPlacement;
 use mgs_placing::zone::ZoneCandidates;
 
-use super::load;
-use super::Audits;
+use super::generate_prompts;
+use super::AuditDistribution;
 use super::Emulator;
 use super::Event;
-use super::Numbers;
+use super::Observations;
 use super::Phase;
 use super::Prompt;
-use super::Questions;
-use super::Seen;
-use super::Wrote;
+use super::QuestionDistribution;
+use super::Rng;
+use super::StreamEvent;
 
-pub(super) const LOOK_MS: f64 = 12.0;
+/// Time between two rounds of decisions on the waiting prompts, in milliseconds.
+pub(super) const DISPATCH_INTERVAL_MS: f64 = 12.0;
 
-/// Time between two judgements of a prompt that isn't first in line.
-const JUDGEMENT_MS: f64 = 240.0;
+/// Time after which the score of a prompt that isn't first in its queue is computed anew, in
+/// milliseconds.
+const REEVALUATION_INTERVAL_MS: f64 = 240.0;
 
-/// Availability zones of a fleet.
+/// Number of availability zones of a deployment.
 pub(super) const ZONES: usize = 5;
 
-/// Prompts of fewer tokens are short in each load.
+/// Prompts of fewer tokens are questions in each load.
 const SHORT_TOKENS: u64 = 24_000;
 
-/// A fleet and the longest prompts that it gets.
+/// The engines of a deployment and the prompts that it gets.
 #[derive(Debug, Clone)]
 pub(crate) struct Deployment {
+    /// Number of engines.
     pub(crate) engines: usize,
     pub(crate) model: EngineModel,
-    pub(crate) audits: Audits,
-    /// Short prompts and clients unlike those of the sheets.
-    pub(crate) questions: Option<Questions>,
-    /// Requests and parts that an engine runs at once; more wait at the engine.
-    pub(crate) places: usize,
-    /// Plays with different numbers, over which the mean is taken.
-    pub(crate) plays: u64,
-    /// Engines that name a limit.
-    pub(crate) limited: Option<Limited>,
+    pub(crate) audits: AuditDistribution,
+    /// Distribution of the questions, if it differs from the usual one; clients then have limited
+    /// patience.
+    pub(crate) questions: Option<QuestionDistribution>,
+    /// Number of requests and parts that an engine runs at the same time; others queue at the
+    /// engine. With `usize::MAX` nothing ever queues.
+    pub(crate) engine_slots: usize,
+    /// Number of runs with different seeds, over which results are averaged.
+    pub(crate) runs: u64,
+    /// The request rate limit that some engines declare.
+    pub(crate) rate_limit: Option<RateLimit>,
 }
 
-/// Engines that name a limit of requests a second, the first ones of the fleet.
+/// A request rate limit that the first engines of a deployment declare.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Limited {
+pub(crate) struct RateLimit {
+    /// Number of engines that declare it.
     pub(crate) engines: u32,
+    /// Requests per second that each of them accepts.
     pub(crate) per_s: f64,
-    pub(crate) way: LimitWay,
+    /// How gateways use these engines.
+    pub(crate) limit_policy: LimitPolicy,
 }
 
-/// What is asked of an engine whose limit is used up.
+/// How gateways use engines that declare a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum LimitWay {
-    /// Parts for others, as the gateway does.
-    Parts,
-    /// Nothing.
-    Nothing,
-    /// Parts for others; and it gets a request of its own only if no other engine has it on time.
-    LastToLead,
+pub(crate) enum LimitPolicy {
+    /// An engine that has exhausted its limit still prefills parts for other lead engines; the
+    /// gateway's own policy.
+    HelperWhenExhausted,
+    /// An engine that has exhausted its limit isn't used at all.
+    UnusedWhenExhausted,
+    /// Like `HelperWhenExhausted`, and an engine with a limit leads only if no placement led by an
+    /// engine without one is on time.
+    LeadAsLastResort,
 }
 
-/// How prompts are placed in a play.
+/// How prompts are placed and dispatched in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Policy {
-    /// As the gateway does.
-    Turns,
-    /// As the gateway does, and nobody waits for a turn.
-    NoTurns,
-    /// As the gateway does, but short prompts are sent also when they can't be on time.
-    NoSpare,
-    /// As the gateway does, but late prompts go at their last chance and over as many engines as may be.
+    /// The gateway's own policy.
+    Gateway,
+    /// Like `Gateway`, but long prompts are dispatched without queueing.
+    NoQueue,
+    /// Like `Gateway`, but short prompts that can't be on time are dispatched without waiting for a
+    /// spare slot.
+    NoSpareSlots,
+    /// Like `Gateway`, but late prompts are dispatched at the last possible moment and over as many
+    /// engines as allowed.
     WideWhenLate,
-    /// On the one engine with the least reading and writing.
+    /// Each prompt goes to the one engine with the least prefill and decoding.
     LeastLoaded,
 }
 
-/// Reading that was placed and that peers haven't been told of.
+/// Prefill that was placed and not reported to peers yet.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct FreshRead {
+pub(super) struct PlacedPrefill {
     pub(super) endpoint: EndpointKey,
-    pub(super) read_ms: f64,
-    pub(super) reads: PrefillPart,
+    pub(super) prefill_ms: f64,
+    pub(super) part: PrefillPart,
 }
 
+/// The state of one gateway. Prompts are identified by their index in the emulator.
 pub(super) struct Gateway {
     policy: Policy,
-    /// Engines that it may choose.
+    /// Engines among which it chooses, ordered by availability zone.
     pub(super) engines: Vec<u32>,
-    /// Its availability zone; the engines of each lie together.
+    /// Index of its availability zone.
     pub(super) zone: usize,
-    /// Zones of its engines.
+    /// Number of zones that it distinguishes; 1 if it prefers none.
     pub(super) zones: usize,
-    /// Gateways that share the engines.
-    pub(super) gateways: usize,
-    /// What its choices are drawn from; without it, it takes what looks best.
-    pub(super) draws: Option<Numbers>,
-    pub(super) fresh_reads: Vec<FreshRead>,
-    pub(super) fresh_held: Vec<(EndpointKey, EndpointLoad)>,
-    /// Whether engines are free again for which long prompts may wait.
-    pub(super) has_freed: bool,
-    pub(super) board: LoadTable,
+    /// Number of gateways that share the engines, including this one.
+    pub(super) gateway_count: usize,
+    /// Randomizes its choices; without it, the best placement is chosen.
+    pub(super) rng: Option<Rng>,
+    /// Prefill placed since the last report to peers.
+    pub(super) unreported_prefill: Vec<PlacedPrefill>,
+    /// Load placed since the last report to peers.
+    pub(super) unreported_loads: Vec<(EndpointKey, EndpointLoad)>,
+    /// Whether engines that long prompts at peers may wait for have become free since the last
+    /// full report.
+    pub(super) has_freed_engines: bool,
+    pub(super) load_table: LoadTable,
     pub(super) options: options::PlacementOptions,
-    turns: dispatch::DispatchOptions,
+    dispatch_options: dispatch::DispatchOptions,
+    /// Prompts that wait to be dispatched.
     pub(super) waiting: Vec<usize>,
-    spare: SpareSlotRate,
-    pub(super) lengths: LengthCounter,
-    placed: HashMap<usize, Sent>,
-    judged: HashMap<usize, Judged>,
-    limited: Option<Limited>,
-    limits: Table,
+    spare_slots: SpareSlotRate,
+    pub(super) length_counter: LengthCounter,
+    /// Dispatched prompts that haven't ended.
+    sent: HashMap<usize, SentPrompt>,
+    /// Last score of each long prompt that waits.
+    last_scores: HashMap<usize, LastScore>,
+    rate_limit: Option<RateLimit>,
+    /// The rate limits that engines have declared, and their use.
+    limit_table: Table,
 }
 
-/// What was last found of a prompt that waits for its turn.
+/// The last score of a waiting prompt.
 #[derive(Debug, Clone, Copy)]
-struct Judged {
+struct LastScore {
     score: Score,
     at_ms: f64,
 }
 
-impl Judged {
-    /// Whether its chances are judged anew later only, as others go first.
-    fn rests(&self, firsts: QueueHeads, now_ms: f64) -> bool {
-        now_ms - self.at_ms < JUDGEMENT_MS && self.score > firsts.head_for(self.score)
+impl LastScore {
+    /// Whether the score needn't be computed anew yet, because other prompts go first.
+    fn is_still_valid(&self, heads: QueueHeads, now_ms: f64) -> bool {
+        now_ms - self.at_ms < REEVALUATION_INTERVAL_MS && self.score > heads.head_for(self.score)
     }
 }
 
-struct Sent {
+/// A dispatched prompt and the load that it takes.
+struct SentPrompt {
     placement: Placement,
-    parts: Vec<(EndpointKey, EndpointLoad)>,
-    /// The writer and memory, until the end.
-    rest: Vec<(EndpointKey, EndpointLoad)>,
+    /// Load of its parts until the first token.
+    part_loads: Vec<(EndpointKey, EndpointLoad)>,
+    /// Its stream and memory, until the answer ends.
+    lasting_loads: Vec<(EndpointKey, EndpointLoad)>,
 }
 
 impl Gateway {
+    /// Creates the only gateway of a deployment.
     pub(super) fn new(policy: Policy, deployment: &Deployment) -> Self {
         let mut options = options::PlacementOptions::default();
-        let mut turns = dispatch::DispatchOptions::default();
-        // Engines that never run out of places have no spare ones to wait for.
-        if policy == Policy::NoSpare || deployment.places == usize::MAX {
-            turns.spare_from_share = f64::INFINITY;
+        let mut dispatch_options = dispatch::DispatchOptions::default();
+        // Engines that never run out of slots have no spare ones to wait for.
+        if policy == Policy::NoSpareSlots || deployment.engine_slots == usize::MAX {
+            dispatch_options.spare_from_share = f64::INFINITY;
         }
         if policy == Policy::WideWhenLate {
-            // Nothing narrow ends in time by this, and there are always engines for the last chance.
+            // With this margin no narrow placement ends in time, and any number of engines may
+            // prefill late prompts.
             options.late_margin_factor = 100.0;
-            turns.last_engines = 10.0;
-            turns.last_share = 1.0;
+            dispatch_options.last_engines = 10.0;
+            dispatch_options.last_share = 1.0;
         }
-        let mut board = LoadTable::new();
+        let mut load_table = LoadTable::new();
         for key in 0..deployment.engines as u32 {
-            board.set_pass_ms(EndpointKey(key), deployment.model.min_pass_ms());
+            load_table.set_pass_ms(EndpointKey(key), deployment.model.min_pass_ms());
         }
         Self {
             policy,
             engines: (0..deployment.engines as u32).collect(),
             zone: 0,
             zones: 1,
-            gateways: 1,
-            draws: None,
-            fresh_reads: Vec::new(),
-            fresh_held: Vec::new(),
-            has_freed: false,
-            board,
+            gateway_count: 1,
+            rng: None,
+            unreported_prefill: Vec::new(),
+            unreported_loads: Vec::new(),
+            has_freed_engines: false,
+            load_table,
             options,
-            turns,
+            dispatch_options,
             waiting: Vec::new(),
-            spare: SpareSlotRate::default(),
-            lengths: LengthCounter::default(),
-            placed: HashMap::new(),
-            judged: HashMap::new(),
-            limited: deployment.limited,
-            limits: limits(deployment.limited),
+            spare_slots: SpareSlotRate::default(),
+            length_counter: LengthCounter::default(),
+            sent: HashMap::new(),
+            last_scores: HashMap::new(),
+            rate_limit: deployment.rate_limit,
+            limit_table: limit_table(deployment.rate_limit),
         }
     }
 
+    /// The requirements of a prompt at `now_ms`.
     fn need(prompt: &Prompt, model: &EngineModel, now_ms: f64) -> Need {
         let stride = u64::from(model.stride_steps);
-        let waited_ms = now_ms - prompt.at_ms;
+        let waited_ms = now_ms - prompt.arrival_ms;
         Need {
-            prompt_tokens: prompt.tokens,
-            output_tokens: u64::from(prompt.most_events) * stride,
+            prompt_tokens: prompt.prompt_tokens,
+            output_tokens: u64::from(prompt.max_events) * stride,
             expected_tokens: u64::from(prompt.expected_events) * stride,
             pause_ms: prompt.pause_ms,
-            ttft_target_ms: prompt.aim_ms,
-            ttft_left_ms: prompt.aim_ms - waited_ms,
+            ttft_target_ms: prompt.ttft_target_ms,
+            ttft_left_ms: prompt.ttft_target_ms - waited_ms,
             deadline_left_ms: prompt.deadline_ms - waited_ms,
             patience_ms: prompt.patience_ms,
         }
     }
 
+    /// Places a prompt; `None` if there is no placement for it.
     fn place(&mut self, need: &Need, model: &EngineModel, now_ms: f64) -> Option<ScopedPlacement> {
         let mut keys = self.engines.clone();
-        // Its own zone comes first, from another engine on each time.
+        // The own zone comes first, and begins with a random engine.
         let zone_engines = keys.len() / self.zones;
         let mut draw = 0.0;
-        if let Some(draws) = &mut self.draws {
-            draw = draws.unit();
-            let before = self.zone * keys.len() / ZONES;
-            keys.rotate_left(before);
-            let first = (draws.unit() * zone_engines as f64) as usize;
-            keys[..zone_engines].rotate_left(first);
+        if let Some(rng) = &mut self.rng {
+            draw = rng.uniform();
+            let zone_start = self.zone * keys.len() / ZONES;
+            keys.rotate_left(zone_start);
+            let offset = (rng.uniform() * zone_engines as f64) as usize;
+            keys[..zone_engines].rotate_left(offset);
         }
-        let shut: HashSet<u64> = self.limits.shut(now_ms).iter().map(|(l, _)| l.0).collect();
-        let placed = self.place_among(&keys, &shut, need, model, draw, now_ms);
+        let exhausted: HashSet<u64> = self
+            .limit_table
+            .shut(now_ms)
+            .iter()
+            .map(|(life, _)| life.0)
+            .collect();
+        let placed = self.place_among(&keys, &exhausted, need, model, draw, now_ms);
         let is_on_time =
             |placed: &ScopedPlacement| placed.placement.first_token_ms <= need.ttft_left_ms;
-        let limited = self.limited;
-        let Some(limited) = limited.filter(|limited| limited.way == LimitWay::LastToLead) else {
+        let rate_limit = self.rate_limit;
+        let Some(rate_limit) = rate_limit
+            .filter(|rate_limit| rate_limit.limit_policy == LimitPolicy::LeadAsLastResort)
+        else {
             return placed;
         };
-        let all: HashSet<u64> = (0..u64::from(limited.engines)).collect();
-        let elsewhere = self.place_among(&keys, &all, need, model, draw, now_ms);
+        let limited_engines: HashSet<u64> = (0..u64::from(rate_limit.engines)).collect();
+        let elsewhere = self.place_among(&keys, &limited_engines, need, model, draw, now_ms);
         elsewhere.filter(is_on_time).or(placed)
     }
 
-    /// `shut`: engines that get no request of their own.
+    /// Places a prompt on engines of `keys`. Those of `exhausted` can't lead.
     fn place_among(
         &self,
         keys: &[u32],
-        shut: &HashSet<u64>,
+        exhausted: &HashSet<u64>,
         need: &Need,
         model: &EngineModel,
         draw: f64,
         now_ms: f64,
     ) -> Option<ScopedPlacement> {
         let zone_engines = keys.len() / self.zones;
-        let is_asked_nothing = self.limited.is_some_and(|l| l.way == LimitWay::Nothing);
+        let is_unused_when_exhausted = self
+            .rate_limit
+            .is_some_and(|rate_limit| rate_limit.limit_policy == LimitPolicy::UnusedWhenExhausted);
         let candidate = |key: &u32| {
-            let leads = !shut.contains(&u64::from(*key));
+            let may_lead = !exhausted.contains(&u64::from(*key));
             Candidate {
-                can_lead: leads,
-                can_help: leads || !is_asked_nothing,
+                can_lead: may_lead,
+                can_help: may_lead || !is_unused_when_exhausted,
                 ..Candidate::of(EndpointKey(*key))
             }
         };
         let all: Vec<Candidate> = keys.iter().map(candidate).collect();
-        let field = ZoneCandidates {
+        let zones = ZoneCandidates {
             own_zone: &all[..zone_engines],
             all: &all,
         };
         place_prompt(
             need,
-            &field,
-            &self.board,
+            &zones,
+            &self.load_table,
             model,
             &self.options,
             draw,
@@ -283,61 +318,64 @@
 
     fn score(&self, need: &Need, placement: &Placement, model: &EngineModel, now_ms: f64) -> Score {
         let sent_ratio = self.sent_ratio(need, now_ms);
-        score(need, placement, model, sent_ratio, &self.turns)
+        score(need, placement, model, sent_ratio, &self.dispatch_options)
     }
 
+    /// Ratio at which prompts of this length are dispatched compared with others of their kind.
     fn sent_ratio(&self, need: &Need, now_ms: f64) -> f64 {
-        let mut counts = self.lengths.counts(now_ms);
-        self.board.add_length_counts(&mut counts);
+        let mut counts = self.length_counter.counts(now_ms);
+        self.load_table.add_length_counts(&mut counts);
         counts.sent_ratio(LengthBand::of(need.prompt_tokens, need.ttft_target_ms))
     }
 
-    pub(super) fn arrive(&mut self, emulator: &mut Emulator, prompt: usize) {
+    /// Receives a prompt that arrives now.
+    pub(super) fn receive(&mut self, emulator: &mut Emulator, prompt: usize) {
         let need = Self::need(&emulator.prompts[prompt], &emulator.model, emulator.now_ms);
-        if let Some(band) = dispatch::length_band(&need, &emulator.model, &self.turns) {
-            self.lengths.count_asked(band, emulator.now_ms);
+        if let Some(band) = dispatch::length_band(&need, &emulator.model, &self.dispatch_options) {
+            self.length_counter.count_asked(band, emulator.now_ms);
         }
         self.waiting.push(prompt);
-        self.look(emulator);
+        self.dispatch_waiting(emulator);
     }
 
-    pub(super) fn look(&mut self, emulator: &mut Emulator) {
-        self.note(&std::mem::take(&mut emulator.seen));
+    /// Decides for each waiting prompt whether it is sent now, keeps waiting or is refused.
+    pub(super) fn dispatch_waiting(&mut self, emulator: &mut Emulator) {
+        self.observe(&std::mem::take(&mut emulator.observations));
         let now_ms = emulator.now_ms;
         let mut scored = Vec::new();
-        // Who stays in line; those that go at once never stand in it.
-        let mut before = QueueHeads::default();
-        let firsts = self.judged.values();
-        let firsts = firsts.fold(QueueHeads::default(), |firsts, judged| {
-            firsts.with_score(judged.score)
+        // Only prompts that stay in the queue count; those dispatched now never block others.
+        let mut remaining_heads = QueueHeads::default();
+        let heads = self.last_scores.values();
+        let heads = heads.fold(QueueHeads::default(), |heads, last_score| {
+            heads.with_score(last_score.score)
         });
         for prompt in std::mem::take(&mut self.waiting) {
-            if let Some(judged) = self.judged.get(&prompt) {
-                if judged.rests(firsts, now_ms) {
-                    before = before.with_score(judged.score);
+            if let Some(last_score) = self.last_scores.get(&prompt) {
+                if last_score.is_still_valid(heads, now_ms) {
+                    remaining_heads = remaining_heads.with_score(last_score.score);
                     self.waiting.push(prompt);
                     continue;
                 }
             }
-            self.judged.remove(&prompt);
+            self.last_scores.remove(&prompt);
             let need = Self::need(&emulator.prompts[prompt], &emulator.model, now_ms);
             let Some(placed) = self.place(&need, &emulator.model, now_ms) else {
                 continue;
             };
-            let own = self.score(&need, &placed.placement, &emulator.model, now_ms);
-            scored.push((own, prompt, placed));
+            let own_score = self.score(&need, &placed.placement, &emulator.model, now_ms);
+            scored.push((own_score, prompt, placed));
         }
         scored.sort_by_key(|(score, prompt, _)| (*score, *prompt));
         let short = |(_, prompt, _): &(Score, usize, ScopedPlacement)| {
-            let is_short = emulator.prompts[*prompt].tokens < SHORT_TOKENS;
+            let is_short = emulator.prompts[*prompt].prompt_tokens < SHORT_TOKENS;
             is_short.then_some(*prompt)
         };
-        let mut shorts: Vec<usize> = scored.iter().filter_map(short).collect();
-        shorts.sort();
+        let mut waiting_short: Vec<usize> = scored.iter().filter_map(short).collect();
+        waiting_short.sort();
         let mut has_sent = false;
-        for (own, prompt, placed) in scored {
+        for (own_score, prompt, placed) in scored {
             let need = Self::need(&emulator.prompts[prompt], &emulator.model, now_ms);
-            // What was sent in this look takes engines from the others.
+            // Prompts sent in this round take engines from the others.
             let placed = match has_sent {
                 false => Some(placed),
                 true => self.place(&need, &emulator.model, now_ms),
@@ -346,119 +384,120 @@
                 continue;
             };
             let zone = ZoneKey(self.zone as u32 + 1);
-            let (waiting, gateways) = match scope {
+            let (peer_heads, gateways) = match scope {
                 Scope::Zone => (
-                    self.board.peer_heads_in(zone),
-                    self.board.peer_count_in(zone) + 1,
+                    self.load_table.peer_heads_in(zone),
+                    self.load_table.peer_count_in(zone) + 1,
                 ),
-                Scope::Fleet => (self.board.peer_heads(), self.gateways),
+                Scope::Fleet => (self.load_table.peer_heads(), self.gateway_count),
             };
             let waiting = dispatch::WaitingPrompt {
                 need: &need,
                 placement: &placement,
                 model: &emulator.model,
-                score: own,
-                others: before.merge(waiting),
-                // Short prompts that came before it; they are numbered as they come.
-                ahead: shorts.partition_point(|short| *short < prompt),
-                spare_per_s: self.spare.per_s(now_ms),
+                score: own_score,
+                others: remaining_heads.merge(peer_heads),
+                // Indices of prompts are in order of arrival.
+                ahead: waiting_short.partition_point(|short| *short < prompt),
+                spare_per_s: self.spare_slots.per_s(now_ms),
                 gateways,
             };
-            let turn = dispatch::decide(&waiting, &self.turns);
-            if turn == DispatchDecision::Dispatch
-                && waiting.is_short(&self.turns)
-                && dispatch::needs_spare_slot(&waiting, &self.turns)
+            let decision = dispatch::decide(&waiting, &self.dispatch_options);
+            if decision == DispatchDecision::Dispatch
+                && waiting.is_short(&self.dispatch_options)
+                && dispatch::needs_spare_slot(&waiting, &self.dispatch_options)
             {
-                self.spare.record(now_ms);
+                self.spare_slots.record(now_ms);
             }
-            if turn == DispatchDecision::Dispatch || self.policy == Policy::NoTurns {
+            if decision == DispatchDecision::Dispatch || self.policy == Policy::NoQueue {
                 has_sent = true;
                 self.send(emulator, prompt, &need, placement);
-            } else if turn == DispatchDecision::Wait {
-                if !waiting.is_short(&self.turns) {
-                    before = before.with_score(own);
-                    let judged = Judged {
-                        score: own,
+            } else if decision == DispatchDecision::Wait {
+                if !waiting.is_short(&self.dispatch_options) {
+                    remaining_heads = remaining_heads.with_score(own_score);
+                    let last_score = LastScore {
+                        score: own_score,
                         at_ms: now_ms,
                     };
-                    self.judged.insert(prompt, judged);
+                    self.last_scores.insert(prompt, last_score);
                 }
                 self.waiting.push(prompt);
             }
         }
     }
 
-    /// Takes what it sees of its own streams.
-    pub(super) fn note(&mut self, seen: &Seen) {
-        let own = |wrote: &&Wrote| self.placed.contains_key(&wrote.prompt);
-        for wrote in seen.wrote.iter().filter(own) {
-            let key = EndpointKey(wrote.engine as u32);
-            self.board.record_stream_event(key, wrote.at_ms);
+    /// Updates the load from observations of the prompts that this gateway has sent.
+    pub(super) fn observe(&mut self, observations: &Observations) {
+        let is_own = |event: &&StreamEvent| self.sent.contains_key(&event.prompt);
+        for event in observations.stream_events.iter().filter(is_own) {
+            let key = EndpointKey(event.engine as u32);
+            self.load_table.record_stream_event(key, event.at_ms);
         }
-        for prompt in &seen.started {
-            let Some(placed) = self.placed.get(prompt) else {
+        for prompt in &observations.started {
+            let Some(sent) = self.sent.get(prompt) else {
                 continue;
             };
-            self.has_freed |= !placed.parts.is_empty();
-            for (key, part) in &placed.parts {
-                self.board.remove_own(*key, part);
+            self.has_freed_engines |= !sent.part_loads.is_empty();
+            for (key, part) in &sent.part_loads {
+                self.load_table.remove_own(*key, part);
             }
         }
-        for prompt in &seen.ended {
-            if let Some(placed) = self.placed.remove(prompt) {
-                self.has_freed |= !placed.placement.helpers.is_empty();
-                for (key, held) in &placed.rest {
-                    self.board.remove_own(*key, held);
+        for prompt in &observations.ended {
+            if let Some(sent) = self.sent.remove(prompt) {
+                self.has_freed_engines |= !sent.placement.helpers.is_empty();
+                for (key, load) in &sent.lasting_loads {
+                    self.load_table.remove_own(*key, load);
                 }
             }
         }
     }
 
+    /// Records the load of a prompt and schedules its sending at the end of its hold time.
     fn send(&mut self, emulator: &mut Emulator, prompt: usize, need: &Need, placement: Placement) {
-        // Nobody else takes it between choice and dispatch.
-        let taken = self
-            .limits
+        // Nothing else can use up the limit between the choice and this call.
+        let permit = self
+            .limit_table
             .permit(Life(u64::from(placement.lead.0)), emulator.now_ms);
-        assert!(taken.is_ok(), "{taken:?}");
-        if let Some(band) = dispatch::length_band(need, &emulator.model, &self.turns) {
-            self.lengths.count_sent(band, emulator.now_ms);
+        assert!(permit.is_ok(), "{permit:?}");
+        if let Some(band) = dispatch::length_band(need, &emulator.model, &self.dispatch_options) {
+            self.length_counter.count_sent(band, emulator.now_ms);
         }
         let memory = |tokens: u64| EndpointLoad {
             memory_tokens: tokens as u32,
             ..EndpointLoad::default()
         };
-        let reserves = placement.reservations.iter();
-        let mut rest: Vec<(EndpointKey, EndpointLoad)> = reserves
-            .map(|reserve| (reserve.endpoint, memory(reserve.tokens)))
+        let reservations = placement.reservations.iter();
+        let mut lasting_loads: Vec<(EndpointKey, EndpointLoad)> = reservations
+            .map(|reservation| (reservation.endpoint, memory(reservation.tokens)))
             .collect();
         let reserved: u64 = placement.reservations.iter().map(|r| r.tokens).sum();
-        let mut writer = memory(need.memory_tokens().saturating_sub(reserved));
+        let mut lead_load = memory(need.memory_tokens().saturating_sub(reserved));
         let is_long = is_long(need, &emulator.model, &self.options);
         let passes = emulator.model.passes_for(need.expected_tokens);
-        let units = need.worth_units(&emulator.model);
-        let stream = StreamGroup::single(need.pause_ms, is_long, units, passes)
+        let worth_units = need.worth_units(&emulator.model);
+        let stream = StreamGroup::single(need.pause_ms, is_long, worth_units, passes)
             .with_patience(need.patience_ms)
             .with_slack(need.slack_share(&emulator.model, placement.first_token_ms));
-        writer.streams = vec![stream];
-        rest.push((placement.lead, writer));
-        let mut readers = vec![placement.lead];
-        readers.extend(&placement.helpers);
-        for key in &readers {
-            self.board
+        lead_load.streams = vec![stream];
+        lasting_loads.push((placement.lead, lead_load));
+        let mut prefill_engines = vec![placement.lead];
+        prefill_engines.extend(&placement.helpers);
+        for key in &prefill_engines {
+            self.load_table
                 .add_prefill(*key, emulator.now_ms, placement.prefill_ms);
-            self.fresh_reads.push(FreshRead {
+            self.unreported_prefill.push(PlacedPrefill {
                 endpoint: *key,
-                read_ms: placement.prefill_ms,
-                reads: match (readers.len(), *key == placement.lead) {
+                prefill_ms: placement.prefill_ms,
+                part: match (prefill_engines.len(), *key == placement.lead) {
                     (1, _) => PrefillPart::Whole,
                     (_, true) => PrefillPart::FirstPart,
                     (_, false) => PrefillPart::Part,
                 },
             });
         }
-        for (key, held) in &rest {
-            self.board.add_own(*key, held);
-            self.fresh_held.push((*key, held.clone()));
+        for (key, load) in &lasting_loads {
+            self.load_table.add_own(*key, load);
+            self.unreported_loads.push((*key, load.clone()));
         }
         let part = EndpointLoad {
             parts: 1,
@@ -466,53 +505,55 @@
             shared_read_ms: placement.prefill_ms as u32,
             ..EndpointLoad::default()
         };
-        let mut parts = Vec::new();
-        for key in &readers {
-            if readers.len() > 1 {
-                self.board.add_own(*key, &part);
-                self.fresh_held.push((*key, part.clone()));
-                parts.push((*key, part.clone()));
+        let mut part_loads = Vec::new();
+        for key in &prefill_engines {
+            if prefill_engines.len() > 1 {
+                self.load_table.add_own(*key, &part);
+                self.unreported_loads.push((*key, part.clone()));
+                part_loads.push((*key, part.clone()));
             }
         }
         let at_ms = emulator.now_ms + placement.hold_ms;
-        let placed = Sent {
+        let sent = SentPrompt {
             placement,
-            parts,
-            rest,
+            part_loads,
+            lasting_loads,
         };
-        self.placed.insert(prompt, placed);
+        self.sent.insert(prompt, sent);
         emulator.schedule(at_ms, Event::Send(prompt));
     }
 
-    /// The engines that read a prompt, the one that writes first.
-    pub(super) fn readers(&self, prompt: usize) -> Vec<usize> {
-        let placement = &self.placed[&prompt].placement;
-        let mut readers = vec![placement.lead.0 as usize];
-        readers.extend(placement.helpers.iter().map(|key| key.0 as usize));
-        readers
+    /// The engines that prefill a prompt, the lead first.
+    pub(super) fn prefill_engines(&self, prompt: usize) -> Vec<usize> {
+        let placement = &self.sent[&prompt].placement;
+        let mut prefill_engines = vec![placement.lead.0 as usize];
+        prefill_engines.extend(placement.helpers.iter().map(|key| key.0 as usize));
+        prefill_engines
     }
 
-    /// Who goes first among the prompts that wait here, as last judged.
-    pub(super) fn first_waiting(&self) -> QueueHeads {
-        let judged = self.judged.values();
-        judged.fold(QueueHeads::default(), |firsts, judged| {
-            firsts.with_score(judged.score)
+    /// The best scores among the prompts that wait here, as last computed.
+    pub(super) fn queue_heads(&self) -> QueueHeads {
+        let last_scores = self.last_scores.values();
+        last_scores.fold(QueueHeads::default(), |heads, last_score| {
+            heads.with_score(last_score.score)
         })
     }
 
-    fn least_loaded(&mut self, emulator: &mut Emulator, prompt: usize) {
-        self.note(&std::mem::take(&mut emulator.seen));
+    /// Sends a prompt at once to the engine with the least backlog, where each stream counts as 50
+    /// ms.
+    fn send_to_least_loaded(&mut self, emulator: &mut Emulator, prompt: usize) {
+        self.observe(&std::mem::take(&mut emulator.observations));
         let now_ms = emulator.now_ms;
         let need = Self::need(&emulator.prompts[prompt], &emulator.model, now_ms);
-        let load = |key: &&u32| {
+        let estimate_ms = |key: &&u32| {
             let key = EndpointKey(**key);
-            let running = self.board.load(key).running();
-            self.board.backlog_ms(key, now_ms, 0.0) + 50.0 * f64::from(running)
+            let running = self.load_table.load(key).running();
+            self.load_table.backlog_ms(key, now_ms, 0.0) + 50.0 * f64::from(running)
         };
         let least = self
             .engines
             .iter()
-            .min_by(|a, b| load(a).total_cmp(&load(b)));
+            .min_by(|a, b| estimate_ms(a).total_cmp(&estimate_ms(b)));
         let placement = Placement {
             lead: EndpointKey(*least.expect("there are engines")),
             helpers: Vec::new(),
@@ -530,62 +571,65 @@
     }
 }
 
-/// The limits that engines have named, at the only gateway.
-fn limits(limited: Option<Limited>) -> Table {
+/// The declared rate limits, as the only gateway has them.
+fn limit_table(rate_limit: Option<RateLimit>) -> Table {
     let mut table = Table::new(Default::default());
     table.set_gateways(Gateways {
         count: Some(1),
         ..Gateways::default()
     });
-    let Some(limited) = limited else {
+    let Some(rate_limit) = rate_limit else {
         return table;
     };
-    let says = Advice {
-        limit_per_s: advice::Field::Says(limited.per_s),
+    let advice = Advice {
+        limit_per_s: advice::Field::Says(rate_limit.per_s),
         ..Advice::default()
     };
-    for engine in 0..limited.engines {
-        table.hear(Life(u64::from(engine)), says, 0.0, 0.0);
+    for engine in 0..rate_limit.engines {
+        table.hear(Life(u64::from(engine)), advice, 0.0, 0.0);
     }
     table
 }
 
-/// Plays a load to its end; what became of each prompt is in the emulator.
-pub(crate) fn play(
+/// Runs a load with one gateway until 15 s after its last phase; the result of each prompt is in
+/// the returned emulator.
+pub(crate) fn run(
     policy: Policy,
     deployment: &Deployment,
     phases: &[Phase],
     seed: u64,
 ) -> Emulator {
-    let mut prompts = load(phases, &deployment.audits, seed);
+    let mut prompts = generate_prompts(phases, &deployment.audits, seed);
     if let Some(questions) = &deployment.questions {
-        questions.draw(&mut prompts, seed);
+        questions.redraw(&mut prompts, seed);
     }
     let model = deployment.model.clone();
     let mut emulator = Emulator::new(model, deployment.engines, prompts);
-    emulator.places = deployment.places;
+    emulator.engine_slots = deployment.engine_slots;
     let mut gateway = Gateway::new(policy, deployment);
-    emulator.schedule(LOOK_MS, Event::Look);
-    let end_ms = phases.iter().map(|phase| phase.length_ms).sum::<f64>() + 15_000.0;
+    emulator.schedule(DISPATCH_INTERVAL_MS, Event::DispatchRound);
+    let end_ms = phases.iter().map(|phase| phase.duration_ms).sum::<f64>() + 15_000.0;
     while let Some(event) = emulator.next() {
         if emulator.now_ms > end_ms {
             break;
         }
         match event {
             Event::Arrival(prompt) if policy == Policy::LeastLoaded => {
-                gateway.least_loaded(&mut emulator, prompt);
+                gateway.send_to_least_loaded(&mut emulator, prompt);
             }
-            Event::Arrival(prompt) => gateway.arrive(&mut emulator, prompt),
-            Event::Look => {
-                gateway.look(&mut emulator);
-                let at_ms = emulator.now_ms + LOOK_MS;
-                emulator.schedule(at_ms, Event::Look);
+            Event::Arrival(prompt) => gateway.receive(&mut emulator, prompt),
+            Event::DispatchRound => {
+                gateway.dispatch_waiting(&mut emulator);
+                let at_ms = emulator.now_ms + DISPATCH_INTERVAL_MS;
+                emulator.schedule(at_ms, Event::DispatchRound);
             }
             Event::Send(prompt) => {
-                emulator.send(prompt, &gateway.readers(prompt));
+                emulator.send(prompt, &gateway.prefill_engines(prompt));
+            }
+            Event::PassEnd(_) => unreachable!("the emulator handles the ends of passes"),
+            Event::SendReport(_) | Event::ReceiveReport(_) => {
+                unreachable!("one gateway has no peers")
             }
-            Event::Pass(_) => unreachable!("passes are played by the emulator"),
-            Event::Tell(_) | Event::Hear(_) => unreachable!("one gateway has no peers"),
         }
     }
     emulator
--- a/crates/mgs-placing/tests/emulator/sizes.rs
+++ b/crates/mgs-placing/tests/emulator/sizes.rs
@@ -1,50 +1,61 @@
-//! Whether the longest prompts of a kind are served as often as the others.
+//! Shares of completed answers by size of the request.
 
-use super::gateway::play;
+use super::gateway::run;
 use super::gateway::Deployment;
 use super::gateway::Policy;
 use super::Emulator;
 use super::Phase;
 use super::Prompt;
 
-/// Shares of a kind's prompts that were answered whole: of all, of the largest tenth and of the fifth below it.
+/// Shares of one kind's prompts whose answers are complete.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Served {
+pub(crate) struct AnsweredShares {
+    /// Of all prompts of the kind.
     pub(crate) all: f64,
-    pub(crate) fifth: f64,
-    pub(crate) largest: f64,
+    /// Of the fifth below the largest tenth.
+    pub(crate) next_largest_fifth: f64,
+    /// Of the largest tenth.
+    pub(crate) largest_tenth: f64,
 }
 
-impl Served {
-    /// Of all plays of a deployment together.
-    pub(crate) fn of(deployment: &Deployment, phases: &[Phase], aim_ms: f64) -> Self {
-        let mut ends: Vec<(u64, bool)> = Vec::new();
-        for seed in 1..=deployment.plays {
-            let emulator = play(Policy::Turns, deployment, phases, seed);
-            ends.extend(ends_of(&emulator, |prompt| prompt.aim_ms == aim_ms));
+impl AnsweredShares {
+    /// The shares over all runs of a deployment, of the prompts with this first-token target.
+    pub(crate) fn of(deployment: &Deployment, phases: &[Phase], ttft_target_ms: f64) -> Self {
+        let mut answers: Vec<(u64, bool)> = Vec::new();
+        for seed in 1..=deployment.runs {
+            let emulator = run(Policy::Gateway, deployment, phases, seed);
+            answers.extend(size_and_completion(&emulator, |prompt| {
+                prompt.ttft_target_ms == ttft_target_ms
+            }));
         }
-        ends.sort();
-        let at = |share: f64| (ends.len() as f64 * share) as usize;
+        answers.sort();
+        let index_at = |share: f64| (answers.len() as f64 * share) as usize;
         Self {
-            all: share(&ends),
-            fifth: share(&ends[at(0.7)..at(0.9)]),
-            largest: share(&ends[at(0.9)..]),
+            all: share(&answers),
+            next_largest_fifth: share(&answers[index_at(0.7)..index_at(0.9)]),
+            largest_tenth: share(&answers[index_at(0.9)..]),
         }
     }
 }
 
-/// Size of each prompt of a kind, and whether its answer is whole.
-fn ends_of(emulator: &Emulator, is_of_kind: impl Fn(&Prompt) -> bool) -> Vec<(u64, bool)> {
+/// Size of each prompt of a kind, and whether its answer is complete.
+fn size_and_completion(
+    emulator: &Emulator,
+    is_of_kind: impl Fn(&Prompt) -> bool,
+) -> Vec<(u64, bool)> {
     let stride = emulator.model.stride_steps;
-    let all = emulator.prompts.iter().zip(&emulator.fates);
+    let all = emulator.prompts.iter().zip(&emulator.outcomes);
     let of_kind = all.filter(|(prompt, _)| is_of_kind(prompt));
-    let end = |prompt: &Prompt, is_whole| (prompt.size_tokens(stride), is_whole);
+    let answer = |prompt: &Prompt, is_complete| (prompt.size_tokens(stride), is_complete);
     of_kind
-        .map(|(prompt, fate)| end(prompt, fate.is_whole))
+        .map(|(prompt, outcome)| answer(prompt, outcome.is_complete))
         .collect()
 }
 
-fn share(ends: &[(u64, bool)]) -> f64 {
-    let served = ends.iter().filter(|(_, is_whole)| *is_whole).count();
-    served as f64 / ends.len().max(1) as f64
+fn share(answers: &[(u64, bool)]) -> f64 {
+    let complete = answers
+        .iter()
+        .filter(|(_, is_complete)| *is_complete)
+        .count();
+    complete as f64 / answers.len().max(1) as f64
 }
--- a/crates/mgs-placing/tests/sizes.rs
+++ b/crates/mgs-placing/tests/sizes.rs
@@ -1,30 +1,32 @@
-//! The longest requests of a kind are served about as often as the others.
+//! The largest requests of a kind are answered about as often as the others.
 //!
-//! What users saw: on days on which nothing else was amiss, of the next to largest audits fewer than half as many
-//! were answered as of all, and elsewhere a quarter of the longest answers to short questions. Audits that exceed
-//! one engine's memory waited in line while a hundred shorter ones went before them, each worth more for its
-//! reading, and after ten seconds, when short questions came, were all refused within a tenth of a second as if
-//! there were no memory. Long answers ended at their deadline, or their clients left after two seconds without an
-//! event, while their engines read for others.
+//! Guards against two failures, both at a load at which other requests were answered normally:
 //!
-//! What proved the cause: in the gateways' logs the least other score was below theirs at each look while forty of
-//! sixty-nine engines were free of short streams; the refusals say `full` at the moment at which that number falls
-//! from 38 to 2, with three quarters of the memory free; and the streams that ended at their deadline had written
-//! their events at 60 to 70 ms where a pass without reading takes 48 ms.
+//! - Of the next-to-largest audits, fewer than half as many were answered as of all audits. Those
+//!   that exceed one engine's memory queued while a hundred shorter ones, each with more worth for
+//!   its prefill, overtook them, although forty of sixty-nine engines had no short streams. After
+//!   ten seconds, when questions arrived, all were refused as `full` within a tenth of a second,
+//!   because the number of engines without short streams fell from 38 to 2, with three quarters of
+//!   the memory free.
+//! - On other deployments, only a quarter of the longest answers to questions were completed. Their
+//!   engines did prefill for other prompts, so events came every 60 to 70 ms where a pass without
+//!   prefill takes 48 ms: the answers reached their deadline, or their clients disconnected after
+//!   two seconds without an event.
 
 mod emulator;
 
-use emulator::deployments::grown;
-use emulator::deployments::long_answers;
+use emulator::deployments::grown_deployment;
+use emulator::deployments::long_answers_deployment;
 use emulator::deployments::GROWN_SWING;
 use emulator::deployments::LONG_ANSWERS_SWING;
-use emulator::sizes::Served;
+use emulator::sizes::AnsweredShares;
 
-/// Of the whole kind's share, the least that the fifth below the largest tenth is to have.
-const FIFTH_LEAST: f64 = 0.8;
+/// Least ratio of the share answered in the fifth below the largest tenth to that of all prompts of
+/// the kind.
+const MIN_FIFTH_RATIO: f64 = 0.8;
 
 /// The same for the largest tenth.
-const LARGEST_LEAST: f64 = 0.65;
+const MIN_LARGEST_RATIO: f64 = 0.65;
 
 #[test]
 fn large_audits_are_answered_about_as_often_as_others() {
@@ -34,21 +36,37 @@
         GROWN_SWING[0],
         GROWN_SWING[1],
     ];
-    let served = Served::of(&grown(), &swing, grown().audits.aim_ms);
-    assert!(served.fifth >= FIFTH_LEAST * served.all, "{served:?}");
-    assert!(served.largest >= LARGEST_LEAST * served.all, "{served:?}");
+    let shares = AnsweredShares::of(
+        &grown_deployment(),
+        &swing,
+        grown_deployment().audits.ttft_target_ms,
+    );
+    assert!(
+        shares.next_largest_fifth >= MIN_FIFTH_RATIO * shares.all,
+        "{shares:?}"
+    );
+    assert!(
+        shares.largest_tenth >= MIN_LARGEST_RATIO * shares.all,
+        "{shares:?}"
+    );
 }
 
 #[test]
 fn long_answers_end_about_as_often_as_others() {
-    let deployment = long_answers();
-    let questions = deployment.questions.expect("questions");
+    let deployment = long_answers_deployment();
+    let questions = deployment.questions.expect("a distribution of questions");
     let swing = [
         LONG_ANSWERS_SWING[0],
         LONG_ANSWERS_SWING[1],
         LONG_ANSWERS_SWING[0],
     ];
-    let served = Served::of(&deployment, &swing, questions.aim_ms);
-    assert!(served.fifth >= FIFTH_LEAST * served.all, "{served:?}");
-    assert!(served.largest >= LARGEST_LEAST * served.all, "{served:?}");
+    let shares = AnsweredShares::of(&deployment, &swing, questions.ttft_target_ms);
+    assert!(
+        shares.next_largest_fifth >= MIN_FIFTH_RATIO * shares.all,
+        "{shares:?}"
+    );
+    assert!(
+        shares.largest_tenth >= MIN_LARGEST_RATIO * shares.all,
+        "{shares:?}"
+    );
 }
--- a/crates/mgs-placing/tests/near.rs
+++ b/crates/mgs-placing/tests/zone_preference.rs
@@ -1,4 +1,4 @@
-//! Engines of the own availability zone first, as long as that costs nothing.
+//! Preference for engines in the gateway's own availability zone, as long as that costs nothing.
 
 use mgs_fleet::view::EndpointKey;
 use mgs_placing::load_table::EndpointLoad;
@@ -14,8 +14,10 @@
 use mgs_placing::zone::ZoneCandidates;
 use rstest::rstest;
 
+/// Number of engines in all zones.
 const ENGINES: u32 = 120;
 
+/// A question as on the deployments' specification sheets.
 const QUESTION: Need = Need {
     prompt_tokens: 4_960,
     output_tokens: 1_680,
@@ -27,6 +29,7 @@
     patience_ms: f64::INFINITY,
 };
 
+/// An audit, which several engines must prefill to meet its first-token target.
 const AUDIT: Need = Need {
     prompt_tokens: 220_000,
     pause_ms: 1_000.0,
@@ -36,24 +39,25 @@
     ..QUESTION
 };
 
-fn place_with(need: &Need, near: usize, board: &LoadTable) -> ScopedPlacement {
+/// Places a prompt with the first `zone_engines` engines as the own zone.
+fn place_with(need: &Need, zone_engines: usize, load_table: &LoadTable) -> ScopedPlacement {
     let candidate = |key| Candidate::of(EndpointKey(key));
     let all: Vec<Candidate> = (0..ENGINES).map(candidate).collect();
-    let field = ZoneCandidates {
-        own_zone: &all[..near],
+    let zones = ZoneCandidates {
+        own_zone: &all[..zone_engines],
         all: &all,
     };
     let (model, options) = (EngineModel::default(), PlacementOptions::default());
-    place_prompt(need, &field, board, &model, &options, 0.5, 0.0).expect("a place")
+    place_prompt(need, &zones, load_table, &model, &options, 0.5, 0.0).expect("a placement")
 }
 
-/// Engines of a zone of forty that read for so long, in milliseconds.
-fn reading(read_ms: f64) -> LoadTable {
-    let mut board = LoadTable::new();
+/// The load of a zone of forty engines with this much prefill on each.
+fn zone_with_prefill(prefill_ms: f64) -> LoadTable {
+    let mut load_table = LoadTable::new();
     for key in 0..40 {
-        board.add_prefill(EndpointKey(key), 0.0, read_ms);
+        load_table.add_prefill(EndpointKey(key), 0.0, prefill_ms);
     }
-    board
+    load_table
 }
 
 #[rstest]
@@ -62,9 +66,12 @@
 fn a_prompt_with_time_to_spare_stays_in_its_zone(#[case] need: &Need) {
     let placed = place_with(need, 40, &LoadTable::new());
     assert_eq!(placed.scope, Scope::Zone);
-    let mut readers = placed.placement.helpers;
-    readers.push(placed.placement.lead);
-    assert!(readers.iter().all(|key| key.0 < 40), "{readers:?}");
+    let mut prefill_engines = placed.placement.helpers;
+    prefill_engines.push(placed.placement.lead);
+    assert!(
+        prefill_engines.iter().all(|key| key.0 < 40),
+        "{prefill_engines:?}"
+    );
 }
 
 #[rstest]
@@ -72,32 +79,32 @@
 #[case(&AUDIT, 9_000.0)]
 fn a_prompt_that_would_be_late_in_its_zone_goes_elsewhere(
     #[case] need: &Need,
-    #[case] read_ms: f64,
+    #[case] prefill_ms: f64,
 ) {
-    let placed = place_with(need, 40, &reading(read_ms));
+    let placed = place_with(need, 40, &zone_with_prefill(prefill_ms));
     assert_eq!(placed.scope, Scope::Fleet);
     assert!(placed.placement.lead.0 >= 40);
     assert!(placed.placement.first_token_ms < need.ttft_left_ms);
 }
 
-/// A wide prompt takes most of a small zone, and whoever comes next finds nothing there.
+/// A prompt over many engines takes most of a small zone, and the next one finds no engines there.
 #[test]
-fn a_small_zone_isnt_looked_at_first() {
+fn a_small_zone_is_not_preferred() {
     let placed = place_with(&AUDIT, 20, &LoadTable::new());
     assert_eq!(placed.scope, Scope::Fleet);
 }
 
 #[test]
-fn a_zone_without_places_leaves_its_prompts_to_the_others() {
-    let mut board = LoadTable::new();
+fn a_zone_without_free_slots_leaves_its_prompts_to_other_zones() {
+    let mut load_table = LoadTable::new();
     let full = EndpointLoad {
         streams: vec![StreamGroup::single(250.0, false, 1.0, 33); 40],
         ..EndpointLoad::default()
     };
     for key in 0..40 {
-        board.add_own(EndpointKey(key), &full);
+        load_table.add_own(EndpointKey(key), &full);
     }
-    let placed = place_with(&QUESTION, 40, &board);
+    let placed = place_with(&QUESTION, 40, &load_table);
     assert_eq!(placed.scope, Scope::Fleet);
     assert!(placed.placement.lead.0 >= 40);
 }
