--- a/crates/mgs-placing/tests/emulator/gateway.rs
+++ b/crates/mgs-placing/tests/emulator/gateway.rs
@@ -55,7 +55,7 @@
 /// Number of availability zones of a deployment.
 pub(super) const ZONES: usize = 5;
 
-/// Prompts of fewer tokens are questions in each load.
+/// Prompts of fewer tokens count as short among those that wait for a spare slot.
 const SHORT_TOKENS: u64 = 24_000;
 
 /// The engines of a deployment and the prompts that it gets.
@@ -106,7 +106,8 @@
 pub(crate) enum Policy {
     /// The gateway's own policy.
     Gateway,
-    /// Like `Gateway`, but long prompts are dispatched without queueing.
+    /// Like `Gateway`, but each prompt is dispatched as soon as it has a placement, without
+    /// queueing or being refused.
     NoQueue,
     /// Like `Gateway`, but short prompts that can't be on time are dispatched without waiting for a
     /// spare slot.
@@ -129,7 +130,7 @@
 /// The state of one gateway. Prompts are identified by their index in the emulator.
 pub(super) struct Gateway {
     policy: Policy,
-    /// Engines among which it chooses, ordered by availability zone.
+    /// Keys of the engines among which it chooses, ordered by availability zone.
     pub(super) engines: Vec<u32>,
     /// Index of its availability zone.
     pub(super) zone: usize,
@@ -186,7 +187,8 @@
 }
 
 impl Gateway {
-    /// Creates the only gateway of a deployment.
+    /// Creates a gateway with the view of a deployment's only one; [`super::many_gateways`] adapts
+    /// it.
     pub(super) fn new(policy: Policy, deployment: &Deployment) -> Self {
         let mut options = options::PlacementOptions::default();
         let mut dispatch_options = dispatch::DispatchOptions::default();
@@ -539,8 +541,8 @@
         })
     }
 
-    /// Sends a prompt at once to the engine with the least backlog, where each stream counts as 50
-    /// ms.
+    /// Sends a prompt at once to the engine with the least backlog; each stream there counts as
+    /// 50 ms.
     fn send_to_least_loaded(&mut self, emulator: &mut Emulator, prompt: usize) {
         self.observe(&std::mem::take(&mut emulator.observations));
         let now_ms = emulator.now_ms;
--- a/crates/mgs-placing/tests/emulator/many_gateways.rs
+++ b/crates/mgs-placing/tests/emulator/many_gateways.rs
@@ -85,9 +85,9 @@
     /// Index of the gateway of each prompt.
     owners: Vec<usize>,
     /// When each gateway sends its next report, or sent its last one.
-    reports_ms: Vec<f64>,
+    report_times_ms: Vec<f64>,
     /// When each gateway sent its last full report.
-    full_reports_ms: Vec<f64>,
+    full_report_times_ms: Vec<f64>,
     messages: Vec<Message>,
     rng: Rng,
     /// Time and engine of each prompt that one engine prefills alone.
@@ -158,12 +158,12 @@
     /// Schedules a report of a gateway whose load has changed, unless one is scheduled already.
     fn schedule_report(&mut self, gateway: usize) {
         let now_ms = self.emulator.now_ms;
-        let last_ms = self.reports_ms[gateway];
+        let last_ms = self.report_times_ms[gateway];
         if last_ms > now_ms {
             return;
         }
         let at_ms = (last_ms + REPORT_MIN_INTERVAL_MS).max(now_ms + 0.01);
-        self.reports_ms[gateway] = at_ms;
+        self.report_times_ms[gateway] = at_ms;
         self.emulator.schedule(at_ms, Event::SendReport(gateway));
     }
 
@@ -172,10 +172,10 @@
     fn send_report(&mut self, from: usize) {
         let now_ms = self.emulator.now_ms;
         let gateway = &mut self.gateways[from];
-        let is_due = now_ms - self.full_reports_ms[from] >= FULL_REPORT_INTERVAL_MS;
+        let is_due = now_ms - self.full_report_times_ms[from] >= FULL_REPORT_INTERVAL_MS;
         let is_full = is_due || std::mem::take(&mut gateway.has_freed_engines);
         if is_full {
-            self.full_reports_ms[from] = now_ms;
+            self.full_report_times_ms[from] = now_ms;
             self.emulator
                 .schedule(now_ms + FULL_REPORT_INTERVAL_MS, Event::SendReport(from));
         }
@@ -290,8 +290,8 @@
         emulator,
         gateways: (0..setup.gateways).map(gateway).collect(),
         owners,
-        reports_ms: vec![0.0; setup.gateways],
-        full_reports_ms: vec![-FULL_REPORT_INTERVAL_MS; setup.gateways],
+        report_times_ms: vec![0.0; setup.gateways],
+        full_report_times_ms: vec![-FULL_REPORT_INTERVAL_MS; setup.gateways],
         messages: Vec::new(),
         rng: Rng::new(seed + 78),
         whole_prompts: Vec::new(),
--- a/crates/mgs-placing/tests/load.rs
+++ b/crates/mgs-placing/tests/load.rs
@@ -135,8 +135,9 @@
 }
 
 /// Guards against late audits that occupy the engines of the next phase: on a grown deployment, 481
-/// of 592 questions that arrived within two seconds were late, because the largest audits of the
-/// preceding phase were all dispatched at their last possible moment and took nearly all engines.
+/// of 592 short prompts that arrived within two seconds were late, because the largest audits of
+/// the preceding phase were all dispatched at their last possible moment and took nearly all
+/// engines.
 #[test]
 fn audits_that_are_late_together_leave_most_engines_to_the_next_phase() {
     let largest = Deployment {
--- a/crates/mgs-placing/tests/pass_timeline.rs
+++ b/crates/mgs-placing/tests/pass_timeline.rs
@@ -63,8 +63,9 @@
     assert_eq!(timeline.ready_ms(1_010.0, 0.0, true), 40.0 + PASS_MS);
 }
 
-/// Whatever is placed and whichever events arrive, a prompt is never predicted to be ready before
-/// its prefill, nor by more than a pass later once the engine has had no other work for long.
+/// Whatever is placed and whichever events arrive, the predicted time to a first token covers at
+/// least a pass and the prompt's prefill, and at most one pass more once nothing was placed for a
+/// minute.
 #[rstest]
 #[case::no_events(0.0)]
 #[case::events_of_each_pass(50.0)]
--- a/crates/mgs-placing/tests/stream_grouping.rs
+++ b/crates/mgs-placing/tests/stream_grouping.rs
@@ -119,9 +119,9 @@
     }
 }
 
-/// Guards against long answers on engines with much prefill: an answer of a hundred events takes 9
-/// s at 85 ms each and missed its deadline of 10 s on an engine that spends a third of its time on
-/// prefill. At a low load, 54 of 697 short prompts ended that way.
+/// Guards against long answers on engines with much prefill: an answer of a hundred events, which
+/// takes 9 s at 85 ms each, missed its deadline of 10 s on an engine that spent a third of its time
+/// on prefill. At a low load, 54 of 697 short prompts ended that way.
 #[test]
 fn a_long_answer_goes_to_an_engine_with_short_passes() {
     let mut load_table = one_engine_with_streams(0.0);
