--- a/crates/mgs-gateway/src/core.rs
+++ b/crates/mgs-gateway/src/core.rs
@@ -23,8 +23,8 @@
 use mgs_observe::admin::Health;
 use mgs_request::budget::Budget;
 use mgs_request::outcome::Refusal;
-use mgs_routing::policy::NoChoice;
 use mgs_routing::policy::Policy;
+use mgs_routing::policy::RoutingError;
 use mgs_routing::span;
 use mgs_schema::key::RequestId;
 use mgs_schema::settings::EndpointKind;
@@ -192,8 +192,8 @@
         let view = self.view();
         let ask = job.ask(&self.options.zone, &[], self.now_ms());
         let no_choice = match self.policy.choose(&view, &ask, rand::random()) {
-            Ok(_) | Err(NoChoice::AllBusy) => return Ok(()),
-            Err(NoChoice::PromptExceedsMemory)
+            Ok(_) | Err(RoutingError::AllBusy) => return Ok(()),
+            Err(RoutingError::PromptExceedsMemory)
                 if span::first_token_ms(&view, &ask, &self.options.spans).is_ok() =>
             {
                 return Ok(());
@@ -201,12 +201,12 @@
             Err(no_choice) => no_choice,
         };
         let reason = match (no_choice, job.endpoint_kind) {
-            (NoChoice::UnknownModel, _) if view.by_model.contains_key(&job.model) => {
+            (RoutingError::UnknownModel, _) if view.by_model.contains_key(&job.model) => {
                 RefusalReason::NoEndpoint
             }
-            (NoChoice::UnknownModel, EndpointKind::Service) => RefusalReason::UnknownService,
-            (NoChoice::UnknownModel, _) => RefusalReason::UnknownModel,
-            (NoChoice::PromptExceedsMemory, _) => RefusalReason::PromptExceedsMemory,
+            (RoutingError::UnknownModel, EndpointKind::Service) => RefusalReason::UnknownService,
+            (RoutingError::UnknownModel, _) => RefusalReason::UnknownModel,
+            (RoutingError::PromptExceedsMemory, _) => RefusalReason::PromptExceedsMemory,
             _ => RefusalReason::NoEndpoint,
         };
         Err(Refusal::new(reason, &no_choice.to_string()))
--- a/crates/mgs-gateway/src/drive/send.rs
+++ b/crates/mgs-gateway/src/drive/send.rs
@@ -7,7 +7,7 @@
 use mgs_request::event::Event;
 use mgs_request::outcome::Refusal;
 use mgs_routing::policy::Choice;
-use mgs_routing::policy::NoChoice;
+use mgs_routing::policy::RoutingError;
 use mgs_schema::wire::envelope::Body;
 use mgs_schema::wire::Cancel;
 use mgs_schema::wire::RefusalReason;
@@ -39,7 +39,7 @@
         self.free_span();
         let event = match self.choose() {
             Ok(choice) => self.send(number, &choice, Carried::default()),
-            Err(NoChoice::PromptExceedsMemory) => self.gather(number),
+            Err(RoutingError::PromptExceedsMemory) => self.gather(number),
             Err(no_choice) => self.no_endpoint(number, no_choice),
         };
         self.events.push_back(event);
@@ -47,21 +47,21 @@
 
     /// What it means that there is no choice. A request that was admitted waits a while for sessions
     /// that are being opened again.
-    pub(super) fn no_endpoint(&mut self, number: AttemptNumber, no_choice: NoChoice) -> Event {
+    pub(super) fn no_endpoint(&mut self, number: AttemptNumber, no_choice: RoutingError) -> Event {
         let now_ms = self.core.now_ms();
         let since_ms = *self.no_endpoint_since_ms.get_or_insert(now_ms);
         let busy = match no_choice {
-            NoChoice::AllBusy => true,
-            NoChoice::NoEndpoint => {
+            RoutingError::AllBusy => true,
+            RoutingError::NoEndpoint => {
                 now_ms < since_ms + SESSION_PATIENCE_MS && self.has_untried_endpoint()
             }
-            NoChoice::UnknownModel | NoChoice::PromptExceedsMemory => false,
+            RoutingError::UnknownModel | RoutingError::PromptExceedsMemory => false,
         };
         let reason = match no_choice {
-            NoChoice::UnknownModel => RefusalReason::UnknownModel,
-            NoChoice::NoEndpoint => RefusalReason::NoEndpoint,
-            NoChoice::PromptExceedsMemory => RefusalReason::PromptExceedsMemory,
-            NoChoice::AllBusy => RefusalReason::Busy,
+            RoutingError::UnknownModel => RefusalReason::UnknownModel,
+            RoutingError::NoEndpoint => RefusalReason::NoEndpoint,
+            RoutingError::PromptExceedsMemory => RefusalReason::PromptExceedsMemory,
+            RoutingError::AllBusy => RefusalReason::Busy,
         };
         Event::NoEndpoint {
             attempt: number,
@@ -79,7 +79,7 @@
     }
 
     /// The choice made in the queue for the first attempt, and fresh ones from then on.
-    fn choose(&mut self) -> Result<Choice, NoChoice> {
+    fn choose(&mut self) -> Result<Choice, RoutingError> {
         if let Some(choice) = self.choice.take() {
             return Ok(choice);
         }
--- a/crates/mgs-gateway/src/job.rs
+++ b/crates/mgs-gateway/src/job.rs
@@ -2,7 +2,7 @@
 
 use mgs_admission::queue::Offer;
 use mgs_fleet::view::EndpointKey;
-use mgs_routing::policy::Ask;
+use mgs_routing::policy::RoutingRequest;
 use mgs_schema::key::RequestId;
 use mgs_schema::settings::EndpointKind;
 use mgs_schema::wire::Dispatch;
@@ -54,8 +54,13 @@
 
 impl Job {
     /// The question for a policy.
-    pub fn ask<'a>(&'a self, zone: &'a str, excluded: &'a [EndpointKey], now_ms: u64) -> Ask<'a> {
-        Ask {
+    pub fn ask<'a>(
+        &'a self,
+        zone: &'a str,
+        excluded: &'a [EndpointKey],
+        now_ms: u64,
+    ) -> RoutingRequest<'a> {
+        RoutingRequest {
             kind: self.endpoint_kind,
             model: &self.model,
             prompt_tokens: self.prompt_tokens,
--- a/crates/mgs-gateway/src/metrics.rs
+++ b/crates/mgs-gateway/src/metrics.rs
@@ -162,7 +162,7 @@
 
     /// Notes the time to the first token of a prompt.
     pub fn first_token(&self, prompt_tokens: u64, took_ms: u64) {
-        let lane = match lane::of(prompt_tokens) {
+        let lane = match lane::for_prompt(prompt_tokens) {
             Lane::Short => "short",
             Lane::Medium => "medium",
             Lane::Long => "long",
--- a/crates/mgs-gateway/src/room.rs
+++ b/crates/mgs-gateway/src/room.rs
@@ -8,8 +8,8 @@
 use mgs_admission::queue::Room;
 use mgs_fleet::view::View;
 use mgs_routing::policy::Choice;
-use mgs_routing::policy::NoChoice;
 use mgs_routing::policy::Policy;
+use mgs_routing::policy::RoutingError;
 use mgs_routing::span;
 use mgs_schema::key::RequestId;
 
@@ -30,7 +30,7 @@
 }
 
 impl FleetRoom<'_> {
-    fn choose(&self, id: RequestId) -> Option<Result<Choice, NoChoice>> {
+    fn choose(&self, id: RequestId) -> Option<Result<Choice, RoutingError>> {
         let job = &self.waiting.get(&id)?.job;
         let ask = job.ask(self.zone, &[], self.now_ms);
         Some(self.policy.choose(&self.view, &ask, rand::random()))
@@ -50,7 +50,7 @@
     fn first_token_ms(&self, offer: &Offer) -> Option<u64> {
         let choice = match self.choose(offer.id)? {
             Ok(choice) => choice,
-            Err(NoChoice::PromptExceedsMemory) => return self.span_first_token_ms(offer.id),
+            Err(RoutingError::PromptExceedsMemory) => return self.span_first_token_ms(offer.id),
             Err(_) => return None,
         };
         let first_token_ms = choice.first_token_ms;
--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -17,7 +17,7 @@
 use mgs_placing::line::Score;
 use mgs_placing::share::Reads;
 use mgs_placing::spare::Spare;
-use mgs_routing::outlier::Outliers;
+use mgs_routing::outlier::OutlierDetector;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::Notify;
@@ -67,7 +67,7 @@
     pub(crate) spare: RefCell<Spare>,
     /// How often long prompts of each length came here and were sent.
     pub(crate) lengths: RefCell<Lengths>,
-    pub(crate) outliers: Outliers,
+    pub(crate) outliers: OutlierDetector,
     /// Endpoints that refuse to read parts of others' prompts.
     pub(crate) helpers: RefCell<Helpers>,
     /// What endpoints ask of those that send them requests.
--- a/crates/mgs-relay/src/place.rs
+++ b/crates/mgs-relay/src/place.rs
@@ -14,7 +14,7 @@
 use mgs_placing::streams::Streams;
 use mgs_placing::turn;
 use mgs_placing::way::Placement;
-use mgs_routing::outlier::Standing;
+use mgs_routing::outlier::Health;
 
 use crate::core::Core;
 use crate::dialect::Helper;
@@ -72,7 +72,7 @@
     let present = listed.filter(|endpoint| !endpoint.facts.is_leaving);
     let present: Vec<Arc<Endpoint>> = present.cloned().collect();
     // Also those that are shut for now: of all of them, only so many may be passed over.
-    core.outliers.known(present.len());
+    core.outliers.set_endpoint_count(present.len());
     present
 }
 
@@ -82,7 +82,7 @@
     let now_ms = core.now_whole_ms();
     // The entry of an endpoint that has ended lapses seconds later.
     let stands = |endpoint: &Arc<Endpoint>| {
-        core.outliers.standing(endpoint.key, now_ms) != Standing::Ejected
+        core.outliers.health(endpoint.key, now_ms) != Health::Ejected
             && !core.refuses_connections(endpoint.key)
     };
     let fresh = |endpoint: &Arc<Endpoint>| !tried.contains(&endpoint.key);
@@ -100,7 +100,7 @@
 
 pub(crate) fn on_trial(core: &Core, endpoint: &Endpoint) -> bool {
     let now_ms = core.now_whole_ms();
-    core.outliers.standing(endpoint.key, now_ms) != Standing::Good
+    core.outliers.health(endpoint.key, now_ms) != Health::Healthy
 }
 
 /// Places a call of a plain service.
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -19,7 +19,7 @@
 use mgs_placing::spare::Spare;
 use mgs_placing::turn;
 use mgs_routing::outlier;
-use mgs_routing::outlier::Outliers;
+use mgs_routing::outlier::OutlierDetector;
 use rand::rngs::SysRng;
 use rand::SeedableRng;
 use rand::TryRng;
@@ -93,7 +93,7 @@
             outliers: outlier::Options {
                 // An endpoint that went dark answers nothing; each request that finds out costs its
                 // client the time to connect elsewhere.
-                failures: 2,
+                consecutive_failures: 2,
                 ejection_ms: 1_000,
                 ejection_max_ms: 8_000,
                 ..outlier::Options::default()
@@ -176,7 +176,7 @@
         spare: RefCell::new(Spare::default()),
         lengths: RefCell::new(Lengths::default()),
         waiting: RefCell::new(HashMap::new()),
-        outliers: Outliers::new(options.outliers),
+        outliers: OutlierDetector::new(options.outliers),
         helpers: RefCell::new(Helpers::default()),
         backpressure: RefCell::new(Table::new(options.backpressure.clone())),
         budget: RefCell::new(Budget::default()),
--- a/crates/mgs-relay/src/shown.rs
+++ b/crates/mgs-relay/src/shown.rs
@@ -19,24 +19,24 @@
         let key = placed.endpoint.key;
         let end = match ended {
             Ended::Whole { head, .. } if head.status.is_server_error() => {
-                core.outliers.failed(key, now_ms);
+                core.outliers.record_failure(key, now_ms);
                 "endpoint_error"
             }
             Ended::Whole { .. } => {
                 core.endpoint_answered(&placed.endpoint);
-                core.outliers.answered(key);
+                core.outliers.record_answer(key);
                 "answered"
             }
             Ended::Started { .. } => {
                 core.endpoint_answered(&placed.endpoint);
-                core.outliers.answered(key);
+                core.outliers.record_answer(key);
                 let sent_ms = now_ms.saturating_sub(took_ms);
                 core.helpers
                     .borrow_mut()
                     .helped(&placed.helper_keys, sent_ms);
                 let predicted_ms = placed.first_token_ms as u64;
                 core.outliers
-                    .first_token(key, now_ms, predicted_ms, took_ms);
+                    .record_first_token(key, now_ms, predicted_ms, took_ms);
                 let late_ms = took_ms.saturating_sub(predicted_ms);
                 core.metrics.late_by_ms.observe(late_ms as f64);
                 "started"
@@ -51,7 +51,7 @@
                     core.refused_connection(key);
                 }
                 if *is_lost {
-                    core.outliers.failed(key, now_ms);
+                    core.outliers.record_failure(key, now_ms);
                 }
                 why
             }
@@ -63,7 +63,7 @@
                 HELPER_REFUSED
             }
             Ended::Unknown { .. } => {
-                core.outliers.failed(key, now_ms);
+                core.outliers.record_failure(key, now_ms);
                 "unknown"
             }
         };
@@ -121,7 +121,8 @@
         let core = &self.core;
         let reason = core.help_refused(helper, is_reserved);
         if took_ms >= STALLED_MS {
-            core.outliers.failed(helper.key, core.now_whole_ms());
+            core.outliers
+                .record_failure(helper.key, core.now_whole_ms());
         }
         log::info!(
             request_id = self.ask.request_id,
--- a/crates/mgs-relay/src/stream.rs
+++ b/crates/mgs-relay/src/stream.rs
@@ -159,7 +159,7 @@
             let core = &self.pursuit.core;
             tokio::task::spawn_local(crash::note(core.clone(), run, lost));
             core.outliers
-                .failed(self.placed.endpoint.key, core.now_whole_ms());
+                .record_failure(self.placed.endpoint.key, core.now_whole_ms());
             match self.resume().await {
                 Resumed::GoesOn => {}
                 Resumed::IsWhole => return End::Whole,
--- a/crates/mgs-routing/benches/decision.rs
+++ b/crates/mgs-routing/benches/decision.rs
@@ -19,9 +19,9 @@
 use mgs_fleet::fleet::Options;
 use mgs_fleet::view::View;
 use mgs_routing::marigold::Marigold;
-use mgs_routing::policy::Ask;
 use mgs_routing::policy::Choice;
 use mgs_routing::policy::Policy;
+use mgs_routing::policy::RoutingRequest;
 use mgs_schema::key::RequestId;
 use mgs_schema::settings::EndpointKind;
 use mgs_schema::settings::EndpointRow;
@@ -56,8 +56,8 @@
 }
 
 impl FleetRoom<'_> {
-    fn ask(&self, offer: &Offer) -> Ask<'_> {
-        Ask {
+    fn request(&self, offer: &Offer) -> RoutingRequest<'_> {
+        RoutingRequest {
             kind: EndpointKind::Engine,
             model: MODEL,
             prompt_tokens: offer.prompt_tokens,
@@ -74,7 +74,9 @@
 
 impl Room for FleetRoom<'_> {
     fn first_token_ms(&self, offer: &Offer) -> Option<u64> {
-        let choice = self.policy.choose(self.view, &self.ask(offer), self.random);
+        let choice = self
+            .policy
+            .choose(self.view, &self.request(offer), self.random);
         let choice = choice.ok()?;
         let first_token_ms = choice.first_token_ms;
         self.last.replace(Some(choice));
@@ -83,11 +85,11 @@
 
     fn taken(&mut self, offer: &Offer) {
         if let Some(choice) = self.last.borrow().as_ref() {
-            let ask = Ask {
+            let request = RoutingRequest {
                 now_ms: DISPATCHED_MS,
-                ..self.ask(offer)
+                ..self.request(offer)
             };
-            self.policy.dispatched(choice.endpoint, &ask);
+            self.policy.dispatched(choice.endpoint, &request);
         }
     }
 }
@@ -199,8 +201,8 @@
                 assert_eq!(actions.len(), 1);
                 let endpoint = room.last.borrow().as_ref().map(|c| c.endpoint);
                 let endpoint = endpoint.expect("it was chosen");
-                let ask = room.ask(&offer);
-                policy.finished(endpoint, &ask, Outcome::Answered);
+                let request = room.request(&offer);
+                policy.finished(endpoint, &request, Outcome::Answered);
                 admission.finished(now_ms, offer.id, 100);
             });
         });
--- a/crates/mgs-routing/benches/trial/run.rs
+++ b/crates/mgs-routing/benches/trial/run.rs
@@ -16,9 +16,9 @@
 use mgs_fleet::fleet::Fleet;
 use mgs_fleet::view::EndpointKey;
 use mgs_fleet::view::View;
-use mgs_routing::policy::Ask;
 use mgs_routing::policy::Choice;
 use mgs_routing::policy::Policy;
+use mgs_routing::policy::RoutingRequest;
 use mgs_schema::key::RequestId;
 use mgs_schema::prefix::SHORT_PROMPT_TOKENS;
 use mgs_schema::settings::EndpointKind;
@@ -89,8 +89,8 @@
     chosen: HashMap<u64, Choice>,
 }
 
-fn ask<'a>(arrival: &'a Arrival, zone: &'a str, now_ms: u64) -> Ask<'a> {
-    Ask {
+fn request<'a>(arrival: &'a Arrival, zone: &'a str, now_ms: u64) -> RoutingRequest<'a> {
+    RoutingRequest {
         kind: EndpointKind::Engine,
         model: "m",
         prompt_tokens: arrival.prompt_tokens,
@@ -107,9 +107,9 @@
 impl Room for FleetRoom<'_> {
     fn first_token_ms(&self, offer: &Offer) -> Option<u64> {
         let arrival = &self.arrivals[offer.id.serial as usize];
-        let ask = ask(arrival, self.zone, self.now_ms);
+        let request = request(arrival, self.zone, self.now_ms);
         let random = self.rng.borrow_mut().random();
-        let choice = self.policy.choose(self.view, &ask, random).ok()?;
+        let choice = self.policy.choose(self.view, &request, random).ok()?;
         let first_token_ms = choice.first_token_ms;
         self.last.replace(Some((offer.id.serial, choice)));
         Some(first_token_ms)
@@ -120,8 +120,8 @@
             return;
         };
         let arrival = &self.arrivals[offer.id.serial as usize];
-        let ask = ask(arrival, self.zone, self.now_ms);
-        self.policy.dispatched(choice.endpoint, &ask);
+        let request = request(arrival, self.zone, self.now_ms);
+        self.policy.dispatched(choice.endpoint, &request);
         self.chosen.insert(serial, choice);
     }
 }
@@ -334,8 +334,8 @@
     fn at_sidecar(&mut self, now_ms: u64, id: usize, engine: usize) {
         let arrival = &self.arrivals[id];
         let gateway = &self.gateways[arrival.gateway];
-        let ask = ask(arrival, ZONES[arrival.gateway % 3], now_ms);
-        let priority = gateway.policy.engine_priority(&ask);
+        let request = request(arrival, ZONES[arrival.gateway % 3], now_ms);
+        let priority = gateway.policy.engine_priority(&request);
         self.engines[engine].push(Job {
             id,
             priority,
@@ -375,11 +375,13 @@
         };
         let gateway = &mut self.gateways[arrival.gateway];
         let key = EndpointKey(engine as u32);
-        let ask = ask(arrival, ZONES[arrival.gateway % 3], now_ms);
+        let request = request(arrival, ZONES[arrival.gateway % 3], now_ms);
         match event {
             Event::FirstToken { .. } => {
                 let took_ms = now_ms - dispatched_ms;
-                gateway.policy.first_token(key, &ask, predicted_ms, took_ms);
+                gateway
+                    .policy
+                    .first_token(key, &request, predicted_ms, took_ms);
                 let first_token_ms = now_ms + HOP_MS - arrival.at_ms;
                 if self.counts(id) {
                     let band = workload::band(arrival.prompt_tokens);
@@ -389,14 +391,14 @@
                 }
             }
             Event::Finished { .. } => {
-                gateway.policy.finished(key, &ask, Outcome::Answered);
-                let request = RequestId {
+                gateway.policy.finished(key, &request, Outcome::Answered);
+                let request_id = RequestId {
                     origin: 0,
                     serial: id as u64,
                 };
                 gateway
                     .admission
-                    .finished(now_ms, request, arrival.answer_tokens);
+                    .finished(now_ms, request_id, arrival.answer_tokens);
                 let in_time = now_ms <= arrival.at_ms + arrival.allotted_ms;
                 if self.counts(id) && now_ms <= self.end_ms && in_time {
                     self.figures.answered_tokens += arrival.prompt_tokens + arrival.answer_tokens;
@@ -406,12 +408,12 @@
                 }
             }
             Event::Late { .. } => {
-                gateway.policy.finished(key, &ask, Outcome::Unspecified);
-                let request = RequestId {
+                gateway.policy.finished(key, &request, Outcome::Unspecified);
+                let request_id = RequestId {
                     origin: 0,
                     serial: id as u64,
                 };
-                gateway.admission.finished(now_ms, request, 0);
+                gateway.admission.finished(now_ms, request_id, 0);
                 self.figures.late += u64::from(self.arrivals[id].at_ms >= self.warm_ms);
             }
         }
--- a/crates/mgs-routing/src/baseline.rs
+++ b/crates/mgs-routing/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Simple policies to measure against.
+//! Simple routing policies that serve as baselines in measurements.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
@@ -9,144 +9,174 @@
 use mgs_schema::wire::Outcome;
 
 use crate::candidate;
-use crate::outstanding::Arena;
+use crate::outstanding::EndpointTable;
 use crate::outstanding::Outstanding;
-use crate::policy::Ask;
 use crate::policy::Choice;
-use crate::policy::NoChoice;
 use crate::policy::Policy;
-
-/// Requests by which a prefix's endpoint may be ahead of the least loaded one.
-const AFFINITY_SLACK_REQUESTS: u32 = 8;
-
-fn candidates<'a>(view: &'a View, ask: &Ask<'_>) -> Result<Vec<&'a Endpoint>, NoChoice> {
-    let mut all = Vec::new();
-    candidate::for_each(view, ask, |endpoint| all.push(endpoint))?;
-    Ok(all)
+use crate::policy::RoutingError;
+use crate::policy::RoutingRequest;
+
+/// Number of outstanding requests by which an endpoint with a cached prefix may exceed the least
+/// loaded endpoint and still be chosen.
+const AFFINITY_EXCESS_REQUESTS_MAX: u32 = 8;
+
+fn candidates<'a>(
+    view: &'a View,
+    request: &RoutingRequest<'_>,
+) -> Result<Vec<&'a Endpoint>, RoutingError> {
+    let mut candidates = Vec::new();
+    candidate::for_each(view, request, |endpoint| candidates.push(endpoint))?;
+    Ok(candidates)
 }
 
-fn choice(best: &Endpoint, second: Option<&Endpoint>, ask: &Ask<'_>) -> Choice {
+fn choice(best: &Endpoint, second: Option<&Endpoint>, request: &RoutingRequest<'_>) -> Choice {
     Choice {
         endpoint: best.key,
         second: second.map(|endpoint| endpoint.key),
         first_token_ms: 0,
-        cached_tokens: candidate::cached_tokens(best, ask),
+        cached_tokens: candidate::cached_tokens(best, request),
     }
 }
 
-/// One endpoint after another.
+/// Chooses the candidates in turn.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
-    turn: AtomicUsize,
+    position: AtomicUsize,
 }
 
 impl Policy for RoundRobin {
-    fn choose(&self, view: &View, ask: &Ask<'_>, _random: u64) -> Result<Choice, NoChoice> {
-        let all = candidates(view, ask)?;
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let best = all[turn % all.len()];
-        let second = (all.len() > 1).then(|| all[(turn + 1) % all.len()]);
-        Ok(choice(best, second, ask))
+    fn choose(
+        &self,
+        view: &View,
+        request: &RoutingRequest<'_>,
+        _random: u64,
+    ) -> Result<Choice, RoutingError> {
+        let candidates = candidates(view, request)?;
+        let position = self.position.fetch_add(1, Ordering::Relaxed);
+        let best = candidates[position % candidates.len()];
+        let second = (candidates.len() > 1).then(|| candidates[(position + 1) % candidates.len()]);
+        Ok(choice(best, second, request))
     }
 
-    fn dispatched(&self, _endpoint: EndpointKey, _ask: &Ask<'_>) {}
+    fn dispatched(&self, _endpoint: EndpointKey, _request: &RoutingRequest<'_>) {}
 
     fn first_token(
         &self,
         _endpoint: EndpointKey,
-        _ask: &Ask<'_>,
+        _request: &RoutingRequest<'_>,
         _predicted_ms: u64,
         _took_ms: u64,
     ) {
     }
 
-    fn finished(&self, _endpoint: EndpointKey, _ask: &Ask<'_>, _outcome: Outcome) {}
+    fn finished(&self, _endpoint: EndpointKey, _request: &RoutingRequest<'_>, _outcome: Outcome) {}
 }
 
-/// The endpoint with the fewest requests of this process; ties by chance.
+/// Chooses the endpoint with the fewest outstanding requests of this process; ties are broken at
+/// random.
 #[derive(Debug, Default)]
 pub struct LeastOutstanding {
-    outstanding: Arena<Outstanding>,
+    outstanding: EndpointTable<Outstanding>,
 }
 
 impl LeastOutstanding {
+    /// Candidates by outstanding requests, fewest first; ties start at a random position.
     fn ranked<'a>(
         &self,
         view: &'a View,
-        ask: &Ask<'_>,
+        request: &RoutingRequest<'_>,
         random: u64,
-    ) -> Result<Vec<&'a Endpoint>, NoChoice> {
-        let mut all = candidates(view, ask)?;
-        let turn = random as usize % all.len();
-        all.rotate_left(turn);
-        all.sort_by_key(|endpoint| self.outstanding.get(endpoint.key).requests());
-        Ok(all)
+    ) -> Result<Vec<&'a Endpoint>, RoutingError> {
+        let mut candidates = candidates(view, request)?;
+        let position = random as usize % candidates.len();
+        candidates.rotate_left(position);
+        candidates.sort_by_key(|endpoint| self.outstanding.get(endpoint.key).requests());
+        Ok(candidates)
     }
 }
 
 impl Policy for LeastOutstanding {
-    fn choose(&self, view: &View, ask: &Ask<'_>, random: u64) -> Result<Choice, NoChoice> {
-        let all = self.ranked(view, ask, random)?;
-        Ok(choice(all[0], all.get(1).copied(), ask))
+    fn choose(
+        &self,
+        view: &View,
+        request: &RoutingRequest<'_>,
+        random: u64,
+    ) -> Result<Choice, RoutingError> {
+        let candidates = self.ranked(view, request, random)?;
+        Ok(choice(candidates[0], candidates.get(1).copied(), request))
     }
 
-    fn dispatched(&self, endpoint: EndpointKey, ask: &Ask<'_>) {
-        self.outstanding.get(endpoint).add(ask.prompt_tokens);
+    fn dispatched(&self, endpoint: EndpointKey, request: &RoutingRequest<'_>) {
+        self.outstanding.get(endpoint).add(request.prompt_tokens);
     }
 
     fn first_token(
         &self,
         _endpoint: EndpointKey,
-        _ask: &Ask<'_>,
+        _request: &RoutingRequest<'_>,
         _predicted_ms: u64,
         _took_ms: u64,
     ) {
     }
 
-    fn finished(&self, endpoint: EndpointKey, ask: &Ask<'_>, _outcome: Outcome) {
-        self.outstanding.get(endpoint).remove(ask.prompt_tokens);
+    fn finished(&self, endpoint: EndpointKey, request: &RoutingRequest<'_>, _outcome: Outcome) {
+        self.outstanding.get(endpoint).remove(request.prompt_tokens);
     }
 }
 
-/// The endpoint with the longest cached prefix, unless it has many more requests than the one with
-/// the fewest.
+/// Chooses the endpoint with the longest cached prefix among those whose outstanding requests
+/// exceed the fewest of any candidate by at most `AFFINITY_EXCESS_REQUESTS_MAX`.
 #[derive(Debug, Default)]
 pub struct PrefixAffinity {
-    least: LeastOutstanding,
+    least_outstanding: LeastOutstanding,
 }
 
 impl Policy for PrefixAffinity {
-    fn choose(&self, view: &View, ask: &Ask<'_>, random: u64) -> Result<Choice, NoChoice> {
-        let all = self.least.ranked(view, ask, random)?;
-        let requests = |endpoint: &Endpoint| self.least.outstanding.get(endpoint.key).requests();
-        let most = requests(all[0]) + AFFINITY_SLACK_REQUESTS;
-        let mut best = all[0];
-        let mut cached = candidate::cached_tokens(best, ask);
-        for endpoint in all.iter().copied().take_while(|e| requests(e) <= most) {
-            let here = candidate::cached_tokens(endpoint, ask);
-            if here > cached {
+    fn choose(
+        &self,
+        view: &View,
+        request: &RoutingRequest<'_>,
+        random: u64,
+    ) -> Result<Choice, RoutingError> {
+        let candidates = self.least_outstanding.ranked(view, request, random)?;
+        let requests = |endpoint: &Endpoint| {
+            self.least_outstanding
+                .outstanding
+                .get(endpoint.key)
+                .requests()
+        };
+        let requests_max = requests(candidates[0]) + AFFINITY_EXCESS_REQUESTS_MAX;
+        let mut best = candidates[0];
+        let mut best_cached = candidate::cached_tokens(best, request);
+        for endpoint in candidates
+            .iter()
+            .copied()
+            .take_while(|e| requests(e) <= requests_max)
+        {
+            let cached = candidate::cached_tokens(endpoint, request);
+            if cached > best_cached {
                 best = endpoint;
-                cached = here;
+                best_cached = cached;
             }
         }
-        let second = all.iter().copied().find(|e| e.key != best.key);
-        Ok(choice(best, second, ask))
+        let second = candidates.iter().copied().find(|e| e.key != best.key);
+        Ok(choice(best, second, request))
     }
 
-    fn dispatched(&self, endpoint: EndpointKey, ask: &Ask<'_>) {
-        self.least.dispatched(endpoint, ask);
+    fn dispatched(&self, endpoint: EndpointKey, request: &RoutingRequest<'_>) {
+        self.least_outstanding.dispatched(endpoint, request);
     }
 
     fn first_token(
         &self,
         _endpoint: EndpointKey,
-        _ask: &Ask<'_>,
+        _request: &RoutingRequest<'_>,
         _predicted_ms: u64,
         _took_ms: u64,
     ) {
     }
 
-    fn finished(&self, endpoint: EndpointKey, ask: &Ask<'_>, outcome: Outcome) {
-        self.least.finished(endpoint, ask, outcome);
+    fn finished(&self, endpoint: EndpointKey, request: &RoutingRequest<'_>, outcome: Outcome) {
+        self.least_outstanding.finished(endpoint, request, outcome);
     }
 }
--- a/crates/mgs-routing/src/candidate.rs
+++ b/crates/mgs-routing/src/candidate.rs
@@ -1,4 +1,4 @@
-//! Endpoints that could serve a request.
+//! Filters the endpoints that are able to serve a request.
 
 use mgs_fleet::cache::leading;
 use mgs_fleet::view::Endpoint;
@@ -7,55 +7,62 @@
 use mgs_schema::settings::EndpointKind;
 use mgs_schema::wire::EndpointState;
 
-use crate::policy::Ask;
-use crate::policy::NoChoice;
+use crate::policy::RoutingError;
+use crate::policy::RoutingRequest;
 
-/// Calls `each` for every endpoint that could serve the request: of its kind and model, live, not
-/// tried before, and with memory for it.
+/// Calls `visit` for every candidate: an endpoint of the requested kind and model that is live, not
+/// excluded, and whose total memory could hold the request.
 ///
-/// Without any, tells why.
+/// Returns an error that gives the reason if there is no candidate: `UnknownModel`, `NoEndpoint`,
+/// or `PromptExceedsMemory` if the prompt is too large for every endpoint that is otherwise
+/// eligible.
 pub fn for_each<'a>(
     view: &'a View,
-    ask: &Ask<'_>,
-    mut each: impl FnMut(&'a Endpoint),
-) -> Result<(), NoChoice> {
-    let keys = view.by_model.get(ask.model).ok_or(NoChoice::UnknownModel)?;
+    request: &RoutingRequest<'_>,
+    mut visit: impl FnMut(&'a Endpoint),
+) -> Result<(), RoutingError> {
+    let keys = view
+        .by_model
+        .get(request.model)
+        .ok_or(RoutingError::UnknownModel)?;
     let mut found = false;
-    let mut too_small = false;
+    let mut exceeds_memory = false;
     for key in keys {
         let Some(endpoint) = view.get(*key) else {
             continue;
         };
-        let willing = endpoint.kind == ask.kind
+        let eligible = endpoint.kind == request.kind
             && endpoint.state == EndpointState::Live
-            && !ask.excluded.contains(key);
-        if !willing {
+            && !request.excluded.contains(key);
+        if !eligible {
             continue;
         }
-        if !fits(endpoint, ask) {
-            too_small = true;
+        if !could_fit(endpoint, request) {
+            exceeds_memory = true;
             continue;
         }
         found = true;
-        each(endpoint);
+        visit(endpoint);
     }
-    match (found, too_small) {
+    match (found, exceeds_memory) {
         (true, _) => Ok(()),
-        (false, true) => Err(NoChoice::PromptExceedsMemory),
-        (false, false) => Err(NoChoice::NoEndpoint),
+        (false, true) => Err(RoutingError::PromptExceedsMemory),
+        (false, false) => Err(RoutingError::NoEndpoint),
     }
 }
 
-/// Whether the endpoint's whole memory could hold prompt and answer; an unknown memory could.
-fn fits(endpoint: &Endpoint, ask: &Ask<'_>) -> bool {
+/// Whether the endpoint's total KV memory can hold prompt and answer. A service, or an engine that
+/// reports a capacity of 0 (unknown), always passes.
+fn could_fit(endpoint: &Endpoint, request: &RoutingRequest<'_>) -> bool {
     let capacity = endpoint.load.kv_capacity_tokens;
-    ask.kind == EndpointKind::Service
+    request.kind == EndpointKind::Service
         || capacity == 0
-        || ask.prompt_tokens + ask.max_tokens <= capacity
+        || request.prompt_tokens + request.max_tokens <= capacity
 }
 
-/// Tokens of the prompt that are believed to be cached at the endpoint.
-pub fn cached_tokens(endpoint: &Endpoint, ask: &Ask<'_>) -> u64 {
-    let blocks = leading(&endpoint.cached, ask.prefix_hashes) as u64;
-    (blocks * BLOCK_TOKENS).min(ask.prompt_tokens)
+/// Prompt tokens covered by the leading prefix blocks that the view lists as cached at the
+/// endpoint.
+pub fn cached_tokens(endpoint: &Endpoint, request: &RoutingRequest<'_>) -> u64 {
+    let blocks = leading(&endpoint.cached, request.prefix_hashes) as u64;
+    (blocks * BLOCK_TOKENS).min(request.prompt_tokens)
 }
--- a/crates/mgs-routing/src/lane.rs
+++ b/crates/mgs-routing/src/lane.rs
@@ -1,31 +1,31 @@
-//! Lengths of prompts as sidecars and engines must tell them apart.
+//! Classifies prompts by length into lanes, from which the priority at sidecar and engine derives.
 
 use mgs_schema::prefix::LONG_PROMPT_TOKENS;
 use mgs_schema::prefix::SHORT_PROMPT_TOKENS;
 
-/// Lanes of one row priority.
+/// Number of lanes, thus of engine priorities per priority of a limit row.
 const LANES: u32 = 3;
 
-/// A band of prompt lengths.
+/// A range of prompt lengths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lane {
-    /// Up to [`SHORT_PROMPT_TOKENS`].
+    /// At most [`SHORT_PROMPT_TOKENS`].
     Short,
-    /// Between the two others.
+    /// More than [`SHORT_PROMPT_TOKENS`] and less than [`LONG_PROMPT_TOKENS`].
     Medium,
-    /// From [`LONG_PROMPT_TOKENS`].
+    /// At least [`LONG_PROMPT_TOKENS`].
     Long,
 }
 
-/// The lane of a prompt.
+/// Returns the lane of a prompt.
 ///
 /// ```
 /// use mgs_routing::lane::Lane;
 ///
-/// assert_eq!(mgs_routing::lane::of(1_000), Lane::Short);
-/// assert_eq!(mgs_routing::lane::of(500_000), Lane::Long);
+/// assert_eq!(mgs_routing::lane::for_prompt(1_000), Lane::Short);
+/// assert_eq!(mgs_routing::lane::for_prompt(500_000), Lane::Long);
 /// ```
-pub fn of(prompt_tokens: u64) -> Lane {
+pub fn for_prompt(prompt_tokens: u64) -> Lane {
     if prompt_tokens <= SHORT_PROMPT_TOKENS {
         Lane::Short
     } else if prompt_tokens < LONG_PROMPT_TOKENS {
@@ -35,7 +35,8 @@
     }
 }
 
-/// Priority that sidecar and engine work by: that of the row first, then the shorter lane.
+/// Priority of a request at sidecar and engine; lower values are served first. Requests are ordered
+/// by the priority of their limit row, then by lane, shorter prompts first.
 ///
 /// ```
 /// use mgs_routing::lane::engine_priority;
@@ -44,5 +45,5 @@
 /// assert!(engine_priority(0, 500_000) < engine_priority(1, 1_000));
 /// ```
 pub fn engine_priority(row_priority: u32, prompt_tokens: u64) -> u32 {
-    row_priority * LANES + of(prompt_tokens) as u32
+    row_priority * LANES + for_prompt(prompt_tokens) as u32
 }
--- a/crates/mgs-routing/src/lib.rs
+++ b/crates/mgs-routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which endpoint serves a request: candidates, predicted time to first token, and the choice.
+//! Request routing: lists candidate endpoints, predicts their time to first token and chooses one.
 //!
-//! A [`policy::Policy`] is a trait object; the gateway holds one, the baselines beside it are
-//! there to be measured against.
+//! A gateway holds one [`policy::Policy`] as a trait object. [`marigold::Marigold`] is the default;
+//! the policies in [`baseline`] exist for comparison in benchmarks and load tests.
 
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
--- a/crates/mgs-routing/src/outlier.rs
+++ b/crates/mgs-routing/src/outlier.rs
@@ -1,4 +1,8 @@
-//! Endpoints that fail or are slow are passed over for a while, by evidence.
+//! Outlier detection: ejects endpoints that fail repeatedly or respond much more slowly than the
+//! fleet, for a limited time.
+//!
+//! After an ejection an endpoint is on probation until it has given a number of answers; a failure
+//! during probation ejects it again, for longer.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::AtomicU64;
@@ -9,89 +13,90 @@
 
 use mgs_fleet::view::EndpointKey;
 
-use crate::outstanding::Arena;
+use crate::outstanding::EndpointTable;
 
-/// Settings of [`Outliers`].
+/// Settings of [`OutlierDetector`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// Failures in a row that eject.
-    pub failures: u32,
-    /// Smoothed slowness that ejects, as a multiple of the fleet's.
+    /// Number of consecutive failures after which an endpoint is ejected.
+    pub consecutive_failures: u32,
+    /// Multiple of the fleet's smoothed slowness (at least 1) above which an endpoint is ejected.
     pub slow_factor: f64,
-    /// First tokens that must have been seen before slowness ejects.
-    pub slow_samples: u32,
-    /// First ejection, in milliseconds; doubled by each further one.
+    /// Minimum number of first tokens observed before an endpoint can be ejected for slowness.
+    pub slow_samples_min: u32,
+    /// Duration of the first ejection, in milliseconds; each further ejection doubles it.
     pub ejection_ms: u64,
-    /// Longest ejection, in milliseconds.
+    /// Maximum duration of an ejection, in milliseconds.
     pub ejection_max_ms: u64,
-    /// Most endpoints ejected at once, as a share of those known.
-    pub share_max: f64,
-    /// Answers in a row that end the trial after an ejection.
-    pub trial_answers: u32,
+    /// Maximum share of the endpoints that are ejected at once.
+    pub ejected_share_max: f64,
+    /// Number of answers without a failure that end the probation after an ejection.
+    pub probation_answers: u32,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            failures: 3,
+            consecutive_failures: 3,
             slow_factor: 4.0,
-            slow_samples: 8,
+            slow_samples_min: 8,
             ejection_ms: 2_000,
             ejection_max_ms: 120_000,
-            share_max: 0.25,
-            trial_answers: 3,
+            ejected_share_max: 0.25,
+            probation_answers: 3,
         }
     }
 }
 
-/// Weight of a new sample in the smoothed slowness.
-const SMOOTHING: f64 = 0.2;
+/// Weight of a new sample in the exponential moving average of the slowness.
+const SMOOTHING_FACTOR: f64 = 0.2;
 
-/// Added to both times before they are divided, in milliseconds: small differences of small times
-/// are no evidence.
-const GRACE_MS: f64 = 200.0;
+/// Added to the observed and the predicted time before their ratio is taken, in milliseconds, so
+/// that small differences between short times don't count as slowness.
+const RATIO_OFFSET_MS: f64 = 200.0;
 
-/// What stands against one endpoint.
+/// Failure, slowness and ejection state of one endpoint. The fields ending in `_bits` hold the bits
+/// of an `f64`.
 #[derive(Debug, Default)]
-struct Evidence {
+struct EndpointRecord {
     failures: AtomicU32,
     samples: AtomicU32,
     slowness_bits: AtomicU64,
     ejected_until_ms: AtomicU64,
     ejections: AtomicU32,
-    trial: AtomicU32,
+    probation_answers_left: AtomicU32,
 }
 
-/// How an endpoint may be used now.
+/// Health of an endpoint, which decides how it may be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// As any other.
-    Good,
-    /// For one request at a time, to see whether it has recovered.
-    Trial,
-    /// Not at all.
+pub enum Health {
+    /// May be used without restriction.
+    Healthy,
+    /// Was ejected, and is to get one request at a time until it has proved to have recovered.
+    Probation,
+    /// Must not be used.
     Ejected,
 }
 
-/// An ejection in force.
+/// An ejection that hasn't expired.
 #[derive(Debug, Clone, Copy)]
 struct Ejection {
     endpoint: EndpointKey,
     until_ms: u64,
 }
 
-/// The evidence against all endpoints.
+/// Tracks failures and slowness of all endpoints and ejects outliers.
 #[derive(Debug, Default)]
-pub struct Outliers {
+pub struct OutlierDetector {
     options: Options,
-    evidence: Arena<Evidence>,
+    records: EndpointTable<EndpointRecord>,
     fleet_slowness_bits: AtomicU64,
-    known: AtomicU32,
+    endpoint_count: AtomicU32,
     ejections: Mutex<Vec<Ejection>>,
 }
 
-impl Outliers {
-    /// No evidence yet.
+impl OutlierDetector {
+    /// Creates a detector with no observations.
     pub fn new(options: Options) -> Self {
         Self {
             options,
@@ -99,88 +104,103 @@
         }
     }
 
-    /// How many endpoints there are to choose from.
-    pub fn known(&self, endpoints: usize) {
+    /// Sets the number of endpoints to choose from, of which
+    /// [`Options::ejected_share_max`] may be ejected at once.
+    pub fn set_endpoint_count(&self, endpoints: usize) {
         let endpoints = u32::try_from(endpoints).unwrap_or(u32::MAX);
-        self.known.store(endpoints, Ordering::Relaxed);
+        self.endpoint_count.store(endpoints, Ordering::Relaxed);
     }
 
-    /// How an endpoint may be used now.
-    pub fn standing(&self, endpoint: EndpointKey, now_ms: u64) -> Standing {
-        let evidence = self.evidence.get(endpoint);
-        if evidence.ejected_until_ms.load(Ordering::Relaxed) > now_ms {
-            Standing::Ejected
-        } else if evidence.trial.load(Ordering::Relaxed) > 0 {
-            Standing::Trial
+    /// Returns the health of an endpoint at `now_ms`.
+    pub fn health(&self, endpoint: EndpointKey, now_ms: u64) -> Health {
+        let record = self.records.get(endpoint);
+        if record.ejected_until_ms.load(Ordering::Relaxed) > now_ms {
+            Health::Ejected
+        } else if record.probation_answers_left.load(Ordering::Relaxed) > 0 {
+            Health::Probation
         } else {
-            Standing::Good
+            Health::Healthy
         }
     }
 
-    /// By what factor first tokens of an endpoint come later than predicted, smoothed; at least 1.
+    /// Returns the smoothed ratio of observed to predicted time to first token, at least 1.
     pub fn slowness(&self, endpoint: EndpointKey) -> f64 {
-        read(&self.evidence.get(endpoint).slowness_bits).max(1.0)
+        load_f64(&self.records.get(endpoint).slowness_bits).max(1.0)
     }
 
-    /// An attempt ended with an answer.
-    pub fn answered(&self, endpoint: EndpointKey) {
-        let evidence = self.evidence.get(endpoint);
-        evidence.failures.store(0, Ordering::Relaxed);
-        let less = |trial: u32| trial.checked_sub(1);
-        let trial = evidence
-            .trial
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, less);
-        if trial == Ok(1) {
-            evidence.ejections.store(0, Ordering::Relaxed);
+    /// Records that an attempt ended with an answer.
+    pub fn record_answer(&self, endpoint: EndpointKey) {
+        let record = self.records.get(endpoint);
+        record.failures.store(0, Ordering::Relaxed);
+        let decrement = |probation_answers_left: u32| probation_answers_left.checked_sub(1);
+        let probation_answers_left = record.probation_answers_left.fetch_update(
+            Ordering::Relaxed,
+            Ordering::Relaxed,
+            decrement,
+        );
+        if probation_answers_left == Ok(1) {
+            record.ejections.store(0, Ordering::Relaxed);
         }
     }
 
-    /// An attempt failed at the endpoint.
-    pub fn failed(&self, endpoint: EndpointKey, now_ms: u64) {
-        let evidence = self.evidence.get(endpoint);
-        let failures = evidence.failures.fetch_add(1, Ordering::Relaxed) + 1;
-        let on_trial = evidence.trial.load(Ordering::Relaxed) > 0;
-        if on_trial || failures >= self.options.failures {
+    /// Records that an attempt failed, and ejects the endpoint if it is on probation or has reached
+    /// [`Options::consecutive_failures`].
+    pub fn record_failure(&self, endpoint: EndpointKey, now_ms: u64) {
+        let record = self.records.get(endpoint);
+        let failures = record.failures.fetch_add(1, Ordering::Relaxed) + 1;
+        let on_probation = record.probation_answers_left.load(Ordering::Relaxed) > 0;
+        if on_probation || failures >= self.options.consecutive_failures {
             self.eject(endpoint, now_ms);
         }
     }
 
-    /// A first token came.
-    pub fn first_token(&self, endpoint: EndpointKey, now_ms: u64, predicted_ms: u64, took_ms: u64) {
-        let evidence = self.evidence.get(endpoint);
-        let sample = (took_ms as f64 + GRACE_MS) / (predicted_ms as f64 + GRACE_MS);
-        let slowness = smooth(&evidence.slowness_bits, sample);
-        // One endpoint moves the fleet's slowness by no more than what would eject it.
-        let most = read(&self.fleet_slowness_bits).max(1.0) * self.options.slow_factor;
-        let fleet = smooth(&self.fleet_slowness_bits, sample.min(most));
-        let samples = evidence.samples.fetch_add(1, Ordering::Relaxed) + 1;
+    /// Records an observed time to first token together with its prediction, and ejects the
+    /// endpoint if it is much slower than the fleet.
+    pub fn record_first_token(
+        &self,
+        endpoint: EndpointKey,
+        now_ms: u64,
+        predicted_ms: u64,
+        took_ms: u64,
+    ) {
+        let record = self.records.get(endpoint);
+        let sample = (took_ms as f64 + RATIO_OFFSET_MS) / (predicted_ms as f64 + RATIO_OFFSET_MS);
+        let slowness = update_average(&record.slowness_bits, sample);
+        // Caps a sample's effect on the fleet's average at the slowness that ejects an endpoint.
+        let limit = load_f64(&self.fleet_slowness_bits).max(1.0) * self.options.slow_factor;
+        let fleet = update_average(&self.fleet_slowness_bits, sample.min(limit));
+        let samples = record.samples.fetch_add(1, Ordering::Relaxed) + 1;
         let slow = slowness > fleet.max(1.0) * self.options.slow_factor;
-        if slow && samples >= self.options.slow_samples {
+        if slow && samples >= self.options.slow_samples_min {
             self.eject(endpoint, now_ms);
         }
     }
 
-    /// Ejects unless too many are ejected already.
+    /// Ejects an endpoint, unless it is ejected already or [`Options::ejected_share_max`] is
+    /// reached.
     fn eject(&self, endpoint: EndpointKey, now_ms: u64) {
         let mut ejections = self.ejections();
         ejections.retain(|e| e.until_ms > now_ms);
-        let known = f64::from(self.known.load(Ordering::Relaxed));
-        let most = (known * self.options.share_max) as usize;
-        let already = ejections.iter().any(|e| e.endpoint == endpoint);
-        if already || ejections.len() >= most {
+        let endpoint_count = f64::from(self.endpoint_count.load(Ordering::Relaxed));
+        let limit = (endpoint_count * self.options.ejected_share_max) as usize;
+        let already_ejected = ejections.iter().any(|e| e.endpoint == endpoint);
+        if already_ejected || ejections.len() >= limit {
             return;
         }
-        let evidence = self.evidence.get(endpoint);
-        let before = evidence.ejections.fetch_add(1, Ordering::Relaxed);
-        let length_ms = self.options.ejection_ms.saturating_mul(1 << before.min(16));
-        let until_ms = now_ms + length_ms.min(self.options.ejection_max_ms);
-        evidence.failures.store(0, Ordering::Relaxed);
-        evidence.samples.store(0, Ordering::Relaxed);
-        evidence.slowness_bits.store(0, Ordering::Relaxed);
-        evidence
-            .trial
-            .store(self.options.trial_answers, Ordering::Relaxed);
-        evidence.ejected_until_ms.store(until_ms, Ordering::Relaxed);
+        let record = self.records.get(endpoint);
+        let prior_ejections = record.ejections.fetch_add(1, Ordering::Relaxed);
+        let duration_ms = self
+            .options
+            .ejection_ms
+            .saturating_mul(1 << prior_ejections.min(16));
+        let until_ms = now_ms + duration_ms.min(self.options.ejection_max_ms);
+        record.failures.store(0, Ordering::Relaxed);
+        record.samples.store(0, Ordering::Relaxed);
+        record.slowness_bits.store(0, Ordering::Relaxed);
+        record
+            .probation_answers_left
+            .store(self.options.probation_answers, Ordering::Relaxed);
+        record.ejected_until_ms.store(until_ms, Ordering::Relaxed);
         ejections.push(Ejection { endpoint, until_ms });
     }
 
@@ -191,17 +211,18 @@
     }
 }
 
-fn read(bits: &AtomicU64) -> f64 {
+fn load_f64(bits: &AtomicU64) -> f64 {
     f64::from_bits(bits.load(Ordering::Relaxed))
 }
 
-/// Mixes a sample into a smoothed value, whose first sample stands as it is.
-fn smooth(bits: &AtomicU64, sample: f64) -> f64 {
-    let old = read(bits);
+/// Updates an exponential moving average, stored as `f64` bits, with a sample and returns it. A
+/// stored 0 means that there was no sample yet.
+fn update_average(bits: &AtomicU64, sample: f64) -> f64 {
+    let old = load_f64(bits);
     let new = if old == 0.0 {
         sample
     } else {
-        old + SMOOTHING * (sample - old)
+        old + SMOOTHING_FACTOR * (sample - old)
     };
     bits.store(new.to_bits(), Ordering::Relaxed);
     new
--- a/crates/mgs-routing/src/policy.rs
+++ b/crates/mgs-routing/src/policy.rs
@@ -1,4 +1,4 @@
-//! The border between a gateway and the way it chooses endpoints.
+//! The [`Policy`] trait, by which a gateway chooses endpoints, and its request and result types.
 
 use std::sync::Arc;
 
@@ -13,47 +13,48 @@
 use crate::baseline::RoundRobin;
 use crate::marigold::Marigold;
 
-/// What is asked for.
+/// Properties of a request that routing depends on.
 #[derive(Debug, Clone)]
-pub struct Ask<'a> {
-    /// What must stand behind the endpoint.
+pub struct RoutingRequest<'a> {
+    /// Kind of endpoint that the request needs.
     pub kind: EndpointKind,
-    /// Model or name of the service.
+    /// Name of the model or service.
     pub model: &'a str,
-    /// Prompt length.
+    /// Prompt length, in tokens.
     pub prompt_tokens: u64,
-    /// Longest answer.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u64,
-    /// Priority; 0 is served first.
+    /// Priority of the request's limit row; 0 is served first.
     pub priority: u32,
-    /// Chained hashes of the prompt's blocks.
+    /// Chained hashes of the prompt's blocks, from the start of the prompt.
     pub prefix_hashes: &'a [u64],
     /// Availability zone of the gateway.
     pub zone: &'a str,
-    /// Endpoints that must not be chosen (tried before).
+    /// Endpoints that must not be chosen, since they were tried before.
     pub excluded: &'a [EndpointKey],
-    /// What is left of the allotted time, in milliseconds.
+    /// Time left until the request's deadline, in milliseconds.
     pub budget_ms: u64,
-    /// Now, on the process's monotonic clock, in milliseconds: when the policy is asked or told.
+    /// Time of the call to the policy, on the process's monotonic clock, in milliseconds.
     pub now_ms: u64,
 }
 
-/// A choice of endpoints.
+/// Result of a routing decision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
     /// The best endpoint.
     pub endpoint: EndpointKey,
-    /// The next best, to ask as well or to fall back on.
+    /// The next best endpoint, for a hedged request or as fallback.
     pub second: Option<EndpointKey>,
-    /// Predicted time to the first token at the best, in milliseconds.
+    /// Predicted time to first token at `endpoint`, in milliseconds; 0 if the policy predicts none.
     pub first_token_ms: u64,
-    /// Prompt tokens believed to be cached there.
+    /// Prompt tokens that the view lists as cached at `endpoint`.
     pub cached_tokens: u64,
 }
 
-/// Why there is no choice.
+/// Reason why no endpoint was chosen. The text of a variant reaches clients as the detail of a
+/// refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum NoChoice {
+pub enum RoutingError {
     /// no endpoint is declared for the model
     UnknownModel,
     /// no endpoint for the model is reachable and willing
@@ -64,32 +65,48 @@
     AllBusy,
 }
 
-impl std::error::Error for NoChoice {}
+impl std::error::Error for RoutingError {}
 
-/// A way to choose endpoints. Shared by request threads; learns from what it is told.
+/// Chooses endpoints. Shared by request threads; implementations update their state from the
+/// dispatch, first-token and completion callbacks.
 pub trait Policy: Send + Sync {
-    /// Chooses. `random` is fresh for each call.
-    fn choose(&self, view: &View, ask: &Ask<'_>, random: u64) -> Result<Choice, NoChoice>;
+    /// Chooses an endpoint for `request`. The caller passes a new random number in `random` for
+    /// each call.
+    ///
+    /// Returns a [`RoutingError`] that gives the reason if no endpoint can be chosen.
+    fn choose(
+        &self,
+        view: &View,
+        request: &RoutingRequest<'_>,
+        random: u64,
+    ) -> Result<Choice, RoutingError>;
 
-    /// Priority by which sidecar and engine work on a request; without lanes, that of its row.
-    fn engine_priority(&self, ask: &Ask<'_>) -> u32 {
-        ask.priority
+    /// Priority of the request at sidecar and engine. By default the priority of its limit row;
+    /// policies that use lanes refine it.
+    fn engine_priority(&self, request: &RoutingRequest<'_>) -> u32 {
+        request.priority
     }
 
-    /// A request was dispatched to an endpoint; reports don't show it yet.
-    fn dispatched(&self, endpoint: EndpointKey, ask: &Ask<'_>);
+    /// Called when a request was dispatched to an endpoint. Load reports don't include it yet.
+    fn dispatched(&self, endpoint: EndpointKey, request: &RoutingRequest<'_>);
 
-    /// The first token came `took_ms` after the dispatch; `predicted_ms` is the
-    /// [`Choice::first_token_ms`] that led to it, 0 if there was none.
-    fn first_token(&self, endpoint: EndpointKey, ask: &Ask<'_>, predicted_ms: u64, took_ms: u64);
+    /// Called when the first token arrived, `took_ms` after the dispatch. `predicted_ms` is the
+    /// [`Choice::first_token_ms`] of the decision, 0 if there was no prediction.
+    fn first_token(
+        &self,
+        endpoint: EndpointKey,
+        request: &RoutingRequest<'_>,
+        predicted_ms: u64,
+        took_ms: u64,
+    );
 
-    /// The attempt at an endpoint ended; follows each [`Policy::dispatched`] once. `Failed` and
-    /// `Unknown` are held against the endpoint; an attempt that its caller or its deadline ended
-    /// is told as `Unspecified`.
-    fn finished(&self, endpoint: EndpointKey, ask: &Ask<'_>, outcome: Outcome);
+    /// Called exactly once after each [`Policy::dispatched`], when the attempt ended. `Failed` and
+    /// `Unknown` count as failures of the endpoint; an attempt that was ended by its caller or its
+    /// deadline is passed as `Unspecified`.
+    fn finished(&self, endpoint: EndpointKey, request: &RoutingRequest<'_>, outcome: Outcome);
 }
 
-/// Names that [`by_name`] knows; the first is the product's own.
+/// Names accepted by [`by_name`]; the first is the default policy, the others are baselines.
 pub const NAMES: [&str; 4] = [
     "marigold",
     "round-robin",
@@ -97,7 +114,8 @@
     "prefix-affinity",
 ];
 
-/// A fresh policy of a name.
+/// Creates the policy of the given name, with default settings and empty state. Returns `None` for
+/// an unknown name.
 ///
 /// ```
 /// assert!(mgs_routing::policy::by_name("marigold").is_some());
--- a/crates/mgs-routing/tests/baseline.rs
+++ b/crates/mgs-routing/tests/baseline.rs
@@ -4,14 +4,14 @@
 
 use std::sync::Arc;
 
-use common::ask;
 use common::endpoint;
+use common::request;
 use common::view;
 use mgs_fleet::view::Endpoint;
 use mgs_fleet::view::EndpointKey;
 use mgs_routing::policy::by_name;
-use mgs_routing::policy::Ask;
-use mgs_routing::policy::NoChoice;
+use mgs_routing::policy::RoutingError;
+use mgs_routing::policy::RoutingRequest;
 use mgs_routing::policy::NAMES;
 use mgs_schema::wire::Outcome;
 use rstest::rstest;
@@ -20,31 +20,31 @@
 fn every_policy_tells_why_there_is_no_choice(#[values(0, 1, 2, 3)] policy: usize) {
     let policy = by_name(NAMES[policy]).unwrap();
     let fleet = view(vec![endpoint(0)]);
-    let unknown = Ask {
+    let unknown = RoutingRequest {
         model: "other",
-        ..ask(1)
+        ..request(1)
     };
     assert_eq!(
         policy.choose(&fleet, &unknown, 0),
-        Err(NoChoice::UnknownModel)
+        Err(RoutingError::UnknownModel)
     );
-    let excluded = Ask {
+    let excluded = RoutingRequest {
         excluded: &[EndpointKey(0)],
-        ..ask(1)
+        ..request(1)
     };
     assert_eq!(
         policy.choose(&fleet, &excluded, 0),
-        Err(NoChoice::NoEndpoint)
+        Err(RoutingError::NoEndpoint)
     );
-    let large = policy.choose(&fleet, &ask(500_000), 0);
-    assert_eq!(large, Err(NoChoice::PromptExceedsMemory));
+    let large = policy.choose(&fleet, &request(500_000), 0);
+    assert_eq!(large, Err(RoutingError::PromptExceedsMemory));
 }
 
 #[test]
 fn round_robin_goes_round() {
     let policy = by_name("round-robin").unwrap();
     let fleet = view((0..3).map(endpoint).collect());
-    let choose = |_| policy.choose(&fleet, &ask(1), 0).unwrap().endpoint.0;
+    let choose = |_| policy.choose(&fleet, &request(1), 0).unwrap().endpoint.0;
     let turns: Vec<u32> = (0..6).map(choose).collect();
     assert_eq!(turns, [0, 1, 2, 0, 1, 2]);
 }
@@ -53,11 +53,11 @@
 fn least_outstanding_counts_what_has_not_ended() {
     let policy = by_name("least-outstanding").unwrap();
     let fleet = view((0..2).map(endpoint).collect());
-    policy.dispatched(EndpointKey(0), &ask(1));
-    let choose = || policy.choose(&fleet, &ask(1), 0).unwrap().endpoint;
+    policy.dispatched(EndpointKey(0), &request(1));
+    let choose = || policy.choose(&fleet, &request(1), 0).unwrap().endpoint;
     assert_eq!(choose(), EndpointKey(1));
-    policy.finished(EndpointKey(0), &ask(1), Outcome::Answered);
-    policy.dispatched(EndpointKey(1), &ask(1));
+    policy.finished(EndpointKey(0), &request(1), Outcome::Answered);
+    policy.dispatched(EndpointKey(1), &request(1));
     assert_eq!(choose(), EndpointKey(0));
 }
 
@@ -70,9 +70,9 @@
         ..endpoint(1)
     };
     let fleet = view(vec![endpoint(0), holder]);
-    let request = Ask {
+    let request = RoutingRequest {
         prefix_hashes: &hashes,
-        ..ask(1_024)
+        ..request(1_024)
     };
     let choose = || policy.choose(&fleet, &request, 0).unwrap().endpoint;
     assert_eq!(choose(), EndpointKey(1));
@@ -84,7 +84,7 @@
 
 #[test]
 fn only_the_products_policy_tells_lengths_apart_at_the_engine() {
-    let priority = |name, tokens| by_name(name).unwrap().engine_priority(&ask(tokens));
+    let priority = |name, tokens| by_name(name).unwrap().engine_priority(&request(tokens));
     for name in &NAMES[1..] {
         assert_eq!(priority(name, 1_000), priority(name, 500_000));
     }
--- a/crates/mgs-routing/tests/common/mod.rs
+++ b/crates/mgs-routing/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use mgs_fleet::view::EndpointKey;
 use mgs_fleet::view::Load;
 use mgs_fleet::view::View;
-use mgs_routing::policy::Ask;
+use mgs_routing::policy::RoutingRequest;
 use mgs_schema::settings::EndpointKind;
 use mgs_schema::wire::EndpointState;
 
@@ -46,8 +46,8 @@
 }
 
 /// A request of so many prompt tokens.
-pub(crate) fn ask(prompt_tokens: u64) -> Ask<'static> {
-    Ask {
+pub(crate) fn request(prompt_tokens: u64) -> RoutingRequest<'static> {
+    RoutingRequest {
         kind: EndpointKind::Engine,
         model: "m",
         prompt_tokens,
--- a/crates/mgs-routing/tests/marigold.rs
+++ b/crates/mgs-routing/tests/marigold.rs
@@ -4,17 +4,17 @@
 
 use std::sync::Arc;
 
-use common::ask;
 use common::endpoint;
+use common::request;
 use common::view;
 use common::REPORTED_MS;
 use mgs_fleet::view::Endpoint;
 use mgs_fleet::view::EndpointKey;
 use mgs_fleet::view::Load;
 use mgs_routing::marigold::Marigold;
-use mgs_routing::policy::Ask;
-use mgs_routing::policy::NoChoice;
 use mgs_routing::policy::Policy;
+use mgs_routing::policy::RoutingError;
+use mgs_routing::policy::RoutingRequest;
 use mgs_schema::wire::EndpointState;
 use mgs_schema::wire::Outcome;
 use rand::RngExt;
@@ -22,11 +22,11 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-fn waiting(key: u32, short_tokens: u64, other_tokens: u64) -> Endpoint {
+fn waiting(key: u32, short_tokens: u64, longer_tokens: u64) -> Endpoint {
     let idle = endpoint(key);
     Endpoint {
         load: Load {
-            prefill_waiting_tokens: short_tokens + other_tokens,
+            prefill_waiting_tokens: short_tokens + longer_tokens,
             short_prefill_waiting_tokens: short_tokens,
             ..idle.load
         },
@@ -34,9 +34,13 @@
     }
 }
 
-fn chosen(policy: &Marigold, endpoints: Vec<Endpoint>, ask: &Ask<'_>) -> Result<u32, NoChoice> {
+fn choose(
+    policy: &Marigold,
+    endpoints: Vec<Endpoint>,
+    request: &RoutingRequest<'_>,
+) -> Result<u32, RoutingError> {
     policy
-        .choose(&view(endpoints), ask, 7)
+        .choose(&view(endpoints), request, 7)
         .map(|choice| choice.endpoint.0)
 }
 
@@ -48,16 +52,16 @@
         waiting(1, 500, 0),
         waiting(2, 2_000, 0),
     ];
-    assert_eq!(chosen(&policy, endpoints, &ask(1_000)), Ok(1));
+    assert_eq!(choose(&policy, endpoints, &request(1_000)), Ok(1));
 }
 
 #[test]
 fn a_short_prompt_is_predicted_past_long_work_and_a_long_one_behind_it() {
     let policy = Marigold::default();
     let busy = view(vec![waiting(0, 0, 5_000)]);
-    let short = policy.choose(&busy, &ask(1_000), 7).unwrap();
+    let short = policy.choose(&busy, &request(1_000), 7).unwrap();
     assert_eq!(short.first_token_ms, 100);
-    let long = policy.choose(&busy, &ask(50_000), 7).unwrap();
+    let long = policy.choose(&busy, &request(50_000), 7).unwrap();
     assert_eq!(long.first_token_ms, 5_500);
 }
 
@@ -66,7 +70,7 @@
     let policy = Marigold::default();
     let endpoints = vec![waiting(0, 0, 200_000), waiting(1, 0, 0)];
     for random in 0..20 {
-        let choice = policy.choose(&view(endpoints.clone()), &ask(1_000), random);
+        let choice = policy.choose(&view(endpoints.clone()), &request(1_000), random);
         assert_eq!(choice.unwrap().endpoint, EndpointKey(1));
     }
 }
@@ -75,9 +79,9 @@
 fn a_cached_prefix_wins_unless_its_endpoint_is_far_behind() {
     let policy = Marigold::default();
     let hashes: Vec<u64> = (1..=32).collect();
-    let request = Ask {
+    let request = RoutingRequest {
         prefix_hashes: &hashes,
-        ..ask(8_192)
+        ..request(8_192)
     };
     let holder = |short_tokens| Endpoint {
         cached: Arc::new(hashes.iter().copied().collect()),
@@ -100,34 +104,34 @@
     let equal = vec![other_zone(0, 0), waiting(1, 0, 0)];
     let mut own = 0;
     for random in 0..100 {
-        let choice = policy.choose(&view(equal.clone()), &ask(100), random * 31);
+        let choice = policy.choose(&view(equal.clone()), &request(100), random * 31);
         own += u32::from(choice.unwrap().endpoint == EndpointKey(1));
     }
     assert!(own > 0);
     let spill = vec![other_zone(0, 0), waiting(1, 2_000, 0)];
-    assert_eq!(chosen(&policy, spill, &ask(100)), Ok(0));
+    assert_eq!(choose(&policy, spill, &request(100)), Ok(0));
 }
 
 #[test]
 fn own_dispatches_count_until_a_report_shows_them() {
     let policy = Marigold::default();
-    let now = Ask {
+    let now = RoutingRequest {
         now_ms: REPORTED_MS + 50,
-        ..ask(4_000)
+        ..request(4_000)
     };
     policy.dispatched(EndpointKey(0), &now);
     let endpoints = || vec![waiting(0, 0, 0), waiting(1, 1_000, 0)];
-    assert_eq!(chosen(&policy, endpoints(), &now), Ok(1));
+    assert_eq!(choose(&policy, endpoints(), &now), Ok(1));
     let reported = |key| Endpoint {
         reported_ms: REPORTED_MS + 500,
         ..waiting(key, 0, 0)
     };
-    let later = Ask {
+    let later = RoutingRequest {
         now_ms: REPORTED_MS + 500,
-        ..ask(4_000)
+        ..request(4_000)
     };
     let endpoints = vec![reported(0), waiting(1, 9_000, 0)];
-    assert_eq!(chosen(&policy, endpoints, &later), Ok(0));
+    assert_eq!(choose(&policy, endpoints, &later), Ok(0));
 }
 
 #[test]
@@ -137,7 +141,7 @@
     let fleet = view(endpoints);
     let mut counts = [0u32; 10];
     for _ in 0..500 {
-        let choice = Marigold::default().choose(&fleet, &ask(2_000), rng.random());
+        let choice = Marigold::default().choose(&fleet, &request(2_000), rng.random());
         counts[choice.unwrap().endpoint.0 as usize] += 1;
     }
     assert!(
@@ -157,11 +161,11 @@
         ..endpoint(0)
     };
     assert_eq!(
-        chosen(&policy, vec![full], &ask(20_000)),
-        Err(NoChoice::AllBusy)
+        choose(&policy, vec![full], &request(20_000)),
+        Err(RoutingError::AllBusy)
     );
-    let too_large = chosen(&policy, vec![endpoint(0)], &ask(500_000));
-    assert_eq!(too_large, Err(NoChoice::PromptExceedsMemory));
+    let too_large = choose(&policy, vec![endpoint(0)], &request(500_000));
+    assert_eq!(too_large, Err(RoutingError::PromptExceedsMemory));
 }
 
 #[rstest]
@@ -173,36 +177,39 @@
         state,
         ..endpoint(0)
     };
-    assert_eq!(chosen(&policy, vec![gone, endpoint(1)], &ask(100)), Ok(1));
+    assert_eq!(
+        choose(&policy, vec![gone, endpoint(1)], &request(100)),
+        Ok(1)
+    );
 }
 
 #[test]
 fn an_endpoint_that_fell_silent_is_the_last_resort() {
     let policy = Marigold::default();
-    let now = Ask {
+    let now = RoutingRequest {
         now_ms: REPORTED_MS + 10_000,
-        ..ask(100)
+        ..request(100)
     };
     let fresh = Endpoint {
         reported_ms: REPORTED_MS + 9_900,
         ..waiting(1, 3_000, 0)
     };
-    assert_eq!(chosen(&policy, vec![endpoint(0), fresh], &now), Ok(1));
-    assert_eq!(chosen(&policy, vec![endpoint(0)], &now), Ok(0));
+    assert_eq!(choose(&policy, vec![endpoint(0), fresh], &now), Ok(1));
+    assert_eq!(choose(&policy, vec![endpoint(0)], &now), Ok(0));
 }
 
 #[test]
 fn a_failing_endpoint_is_passed_over() {
     let policy = Marigold::default();
     let endpoints = || (0..8).map(endpoint).collect::<Vec<_>>();
-    assert!(chosen(&policy, endpoints(), &ask(100)).is_ok());
+    assert!(choose(&policy, endpoints(), &request(100)).is_ok());
     for _ in 0..3 {
-        policy.dispatched(EndpointKey(0), &ask(100));
-        policy.finished(EndpointKey(0), &ask(100), Outcome::Failed);
+        policy.dispatched(EndpointKey(0), &request(100));
+        policy.finished(EndpointKey(0), &request(100), Outcome::Failed);
     }
     let fleet = view(endpoints());
     let hits = (0..200).filter(|random| {
-        let choice = policy.choose(&fleet, &ask(100), random * 977);
+        let choice = policy.choose(&fleet, &request(100), random * 977);
         choice.unwrap().endpoint == EndpointKey(0)
     });
     assert_eq!(hits.count(), 0);
--- a/crates/mgs-routing/tests/span.rs
+++ b/crates/mgs-routing/tests/span.rs
@@ -4,14 +4,14 @@
 
 use std::sync::Arc;
 
-use common::ask;
 use common::endpoint;
+use common::request;
 use common::view;
 use mgs_fleet::view::Endpoint;
 use mgs_fleet::view::EndpointKey;
 use mgs_fleet::view::Load;
-use mgs_routing::policy::Ask;
-use mgs_routing::policy::NoChoice;
+use mgs_routing::policy::RoutingError;
+use mgs_routing::policy::RoutingRequest;
 use mgs_routing::span::first_token_ms;
 use mgs_routing::span::plan;
 use mgs_routing::span::Options;
@@ -29,8 +29,8 @@
     }
 }
 
-fn planned(endpoints: Vec<Endpoint>, tokens: u64) -> Result<Vec<Part>, NoChoice> {
-    plan(&view(endpoints), &ask(tokens), &Options::default())
+fn planned(endpoints: Vec<Endpoint>, tokens: u64) -> Result<Vec<Part>, RoutingError> {
+    plan(&view(endpoints), &request(tokens), &Options::default())
 }
 
 #[test]
@@ -58,9 +58,9 @@
     let fleet = |used| (0..4).map(|key| holder(key, used)).collect::<Vec<_>>();
     assert_eq!(
         planned(fleet(0), 2_000_000),
-        Err(NoChoice::PromptExceedsMemory)
+        Err(RoutingError::PromptExceedsMemory)
     );
-    assert_eq!(planned(fleet(200_000), 600_000), Err(NoChoice::AllBusy));
+    assert_eq!(planned(fleet(200_000), 600_000), Err(RoutingError::AllBusy));
 }
 
 #[test]
@@ -70,18 +70,21 @@
     let keys = |parts: Vec<Part>| parts.iter().map(|part| part.endpoint.0).collect::<Vec<_>>();
     assert_eq!(planned(fleet.clone(), 900_000).map(keys), Ok(vec![1, 2, 3]));
     let tried = [EndpointKey(1)];
-    let ask = Ask {
+    let request = RoutingRequest {
         excluded: &tried,
-        ..ask(900_000)
+        ..request(900_000)
     };
-    let planned = plan(&view(fleet), &ask, &Options::default());
-    assert_eq!(planned, Err(NoChoice::NoEndpoint));
+    let planned = plan(&view(fleet), &request, &Options::default());
+    assert_eq!(planned, Err(RoutingError::NoEndpoint));
 }
 
 #[test]
 fn endpoints_that_do_not_declare_spans_are_left_alone() {
     let plain = (0..4).map(endpoint).collect();
-    assert_eq!(planned(plain, 600_000), Err(NoChoice::PromptExceedsMemory));
+    assert_eq!(
+        planned(plain, 600_000),
+        Err(RoutingError::PromptExceedsMemory)
+    );
 }
 
 #[test]
@@ -106,14 +109,14 @@
         import_ratio: 1,
         ..Options::default()
     };
-    let planned = plan(&fleet, &ask(700_000), &options);
-    assert_eq!(planned, Err(NoChoice::PromptExceedsMemory));
+    let planned = plan(&fleet, &request(700_000), &options);
+    assert_eq!(planned, Err(RoutingError::PromptExceedsMemory));
 }
 
 #[test]
 fn a_busy_fleet_is_predicted_as_if_idle() {
     let fleet = |used| view((0..4).map(|key| holder(key, used)).collect());
-    let predicted = |used| first_token_ms(&fleet(used), &ask(700_000), &Options::default());
+    let predicted = |used| first_token_ms(&fleet(used), &request(700_000), &Options::default());
     let idle_ms = predicted(0).unwrap();
     assert!(idle_ms > 0);
     assert_eq!(predicted(400_000), Ok(idle_ms));
@@ -121,6 +124,6 @@
     for endpoint in down.endpoints.iter_mut().flatten() {
         Arc::make_mut(endpoint).state = EndpointState::Down;
     }
-    let predicted = first_token_ms(&down, &ask(700_000), &Options::default());
+    let predicted = first_token_ms(&down, &request(700_000), &Options::default());
     assert_eq!(predicted, Ok(idle_ms));
 }
