--- a/crates/mgs-routing/src/span.rs
+++ b/crates/mgs-routing/src/span.rs
@@ -70,12 +70,12 @@
 ///
 /// ```
 /// use mgs_fleet::view::View;
-/// use mgs_routing::policy::RoutingRequest;
 /// use mgs_routing::policy::RoutingError;
+/// use mgs_routing::policy::RoutingRequest;
 /// use mgs_routing::span;
 /// use mgs_schema::settings::EndpointKind;
 ///
-/// let ask = Ask {
+/// let request = RoutingRequest {
 ///     kind: EndpointKind::Engine,
 ///     model: "small",
 ///     prompt_tokens: 1_000_000,
