--- a/crates/mgs-routing/src/outlier.rs
+++ b/crates/mgs-routing/src/outlier.rs
@@ -132,13 +132,13 @@
     pub fn record_answer(&self, endpoint: EndpointKey) {
         let record = self.records.get(endpoint);
         record.failures.store(0, Ordering::Relaxed);
-        let decrement = |probation_answers_left: u32| probation_answers_left.checked_sub(1);
-        let probation_answers_left = record.probation_answers_left.fetch_update(
+        let decrement = |answers: u32| answers.checked_sub(1);
+        let previous = record.probation_answers_left.fetch_update(
             Ordering::Relaxed,
             Ordering::Relaxed,
             decrement,
         );
-        if probation_answers_left == Ok(1) {
+        if previous == Ok(1) {
             record.ejections.store(0, Ordering::Relaxed);
         }
     }
@@ -167,11 +167,11 @@
         let sample = (took_ms as f64 + RATIO_OFFSET_MS) / (predicted_ms as f64 + RATIO_OFFSET_MS);
         let slowness = update_average(&record.slowness_bits, sample);
         // Caps a sample's effect on the fleet's average at the slowness that ejects an endpoint.
-        let limit = load_f64(&self.fleet_slowness_bits).max(1.0) * self.options.slow_factor;
-        let fleet = update_average(&self.fleet_slowness_bits, sample.min(limit));
+        let sample_max = load_f64(&self.fleet_slowness_bits).max(1.0) * self.options.slow_factor;
+        let fleet = update_average(&self.fleet_slowness_bits, sample.min(sample_max));
         let samples = record.samples.fetch_add(1, Ordering::Relaxed) + 1;
-        let slow = slowness > fleet.max(1.0) * self.options.slow_factor;
-        if slow && samples >= self.options.slow_samples_min {
+        let is_slow = slowness > fleet.max(1.0) * self.options.slow_factor;
+        if is_slow && samples >= self.options.slow_samples_min {
             self.eject(endpoint, now_ms);
         }
     }
@@ -182,9 +182,9 @@
         let mut ejections = self.ejections();
         ejections.retain(|e| e.until_ms > now_ms);
         let endpoint_count = f64::from(self.endpoint_count.load(Ordering::Relaxed));
-        let limit = (endpoint_count * self.options.ejected_share_max) as usize;
+        let ejections_max = (endpoint_count * self.options.ejected_share_max) as usize;
         let already_ejected = ejections.iter().any(|e| e.endpoint == endpoint);
-        if already_ejected || ejections.len() >= limit {
+        if already_ejected || ejections.len() >= ejections_max {
             return;
         }
         let record = self.records.get(endpoint);
--- a/crates/mgs-routing/tests/baseline.rs
+++ b/crates/mgs-routing/tests/baseline.rs
@@ -1,4 +1,4 @@
-//! The policies that are measured against.
+//! Tests of the baseline policies, and of what all policies have in common.
 
 mod common;
 
@@ -17,15 +17,17 @@
 use rstest::rstest;
 
 #[rstest]
-fn every_policy_tells_why_there_is_no_choice(#[values(0, 1, 2, 3)] policy: usize) {
+fn every_policy_returns_the_reason_if_no_endpoint_can_be_chosen(
+    #[values(0, 1, 2, 3)] policy: usize,
+) {
     let policy = by_name(NAMES[policy]).unwrap();
     let fleet = view(vec![endpoint(0)]);
-    let unknown = RoutingRequest {
+    let unknown_model = RoutingRequest {
         model: "other",
         ..request(1)
     };
     assert_eq!(
-        policy.choose(&fleet, &unknown, 0),
+        policy.choose(&fleet, &unknown_model, 0),
         Err(RoutingError::UnknownModel)
     );
     let excluded = RoutingRequest {
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn round_robin_goes_round() {
+fn round_robin_chooses_endpoints_in_turn() {
     let policy = by_name("round-robin").unwrap();
     let fleet = view((0..3).map(endpoint).collect());
     let choose = |_| policy.choose(&fleet, &request(1), 0).unwrap().endpoint.0;
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn least_outstanding_counts_what_has_not_ended() {
+fn least_outstanding_counts_requests_that_have_not_ended() {
     let policy = by_name("least-outstanding").unwrap();
     let fleet = view((0..2).map(endpoint).collect());
     policy.dispatched(EndpointKey(0), &request(1));
@@ -62,14 +64,14 @@
 }
 
 #[test]
-fn prefix_affinity_goes_where_the_prefix_is_until_it_is_crowded() {
+fn prefix_affinity_prefers_the_cached_prefix_until_its_endpoint_is_overloaded() {
     let policy = by_name("prefix-affinity").unwrap();
     let hashes: Vec<u64> = (1..=4).collect();
-    let holder = Endpoint {
+    let caching_endpoint = Endpoint {
         cached: Arc::new(hashes.iter().copied().collect()),
         ..endpoint(1)
     };
-    let fleet = view(vec![endpoint(0), holder]);
+    let fleet = view(vec![endpoint(0), caching_endpoint]);
     let request = RoutingRequest {
         prefix_hashes: &hashes,
         ..request(1_024)
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn only_the_products_policy_tells_lengths_apart_at_the_engine() {
+fn only_the_default_policy_derives_engine_priority_from_prompt_length() {
     let priority = |name, tokens| by_name(name).unwrap().engine_priority(&request(tokens));
     for name in &NAMES[1..] {
         assert_eq!(priority(name, 1_000), priority(name, 500_000));
--- a/crates/mgs-routing/tests/common/mod.rs
+++ b/crates/mgs-routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet to route in.
+//! Endpoints, views and requests for the routing tests.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use mgs_schema::settings::EndpointKind;
 use mgs_schema::wire::EndpointState;
 
-/// When all loads were reported.
+/// Time of the load report of every endpoint, in milliseconds.
 pub(crate) const REPORTED_MS: u64 = 100_000;
 
-/// A live engine with nothing to do.
+/// A live, idle engine.
 pub(crate) fn endpoint(key: u32) -> Endpoint {
     Endpoint {
         key: EndpointKey(key),
@@ -35,7 +35,7 @@
     }
 }
 
-/// A fleet of these.
+/// A view of a fleet with the given endpoints.
 pub(crate) fn view(endpoints: Vec<Endpoint>) -> View {
     let keys = endpoints.iter().map(|e| e.key).collect();
     View {
@@ -45,7 +45,7 @@
     }
 }
 
-/// A request of so many prompt tokens.
+/// A request with the given prompt length, in tokens.
 pub(crate) fn request(prompt_tokens: u64) -> RoutingRequest<'static> {
     RoutingRequest {
         kind: EndpointKind::Engine,
--- a/crates/mgs-routing/tests/span.rs
+++ b/crates/mgs-routing/tests/span.rs
@@ -1,4 +1,4 @@
-//! Endpoints for prompts beyond one engine's memory.
+//! Tests of span plans for prompts that exceed one engine's memory.
 
 mod common;
 
@@ -18,7 +18,7 @@
 use mgs_routing::span::Part;
 use mgs_schema::wire::EndpointState;
 
-fn holder(key: u32, kv_used_tokens: u64) -> Endpoint {
+fn span_endpoint(key: u32, kv_used_tokens: u64) -> Endpoint {
     Endpoint {
         span: true,
         load: Load {
@@ -29,19 +29,19 @@
     }
 }
 
-fn planned(endpoints: Vec<Endpoint>, tokens: u64) -> Result<Vec<Part>, RoutingError> {
+fn plan_with_defaults(endpoints: Vec<Endpoint>, tokens: u64) -> Result<Vec<Part>, RoutingError> {
     plan(&view(endpoints), &request(tokens), &Options::default())
 }
 
 #[test]
-fn the_fewest_endpoints_with_the_most_room_are_taken_in_the_order_of_their_names() {
+fn a_plan_uses_the_fewest_endpoints_with_the_most_free_memory_in_name_order() {
     let endpoints = vec![
-        holder(0, 300_000),
-        holder(1, 0),
-        holder(2, 10_000),
-        holder(3, 0),
+        span_endpoint(0, 300_000),
+        span_endpoint(1, 0),
+        span_endpoint(2, 10_000),
+        span_endpoint(3, 0),
     ];
-    let parts = planned(endpoints, 650_000).unwrap();
+    let parts = plan_with_defaults(endpoints, 650_000).unwrap();
     let keys: Vec<u32> = parts.iter().map(|part| part.endpoint.0).collect();
     assert_eq!(keys, [1, 3]);
     let sum: u64 = parts.iter().map(|part| part.prompt_tokens).sum();
@@ -54,21 +54,31 @@
 }
 
 #[test]
-fn what_can_never_fit_is_told_apart_from_what_must_wait() {
-    let fleet = |used| (0..4).map(|key| holder(key, used)).collect::<Vec<_>>();
+fn a_prompt_that_can_never_fit_differs_from_one_that_must_wait() {
+    let fleet = |used| {
+        (0..4)
+            .map(|key| span_endpoint(key, used))
+            .collect::<Vec<_>>()
+    };
     assert_eq!(
-        planned(fleet(0), 2_000_000),
+        plan_with_defaults(fleet(0), 2_000_000),
         Err(RoutingError::PromptExceedsMemory)
     );
-    assert_eq!(planned(fleet(200_000), 600_000), Err(RoutingError::AllBusy));
+    assert_eq!(
+        plan_with_defaults(fleet(200_000), 600_000),
+        Err(RoutingError::AllBusy)
+    );
 }
 
 #[test]
-fn an_endpoint_that_is_down_or_was_tried_counts_but_is_not_chosen() {
-    let mut fleet: Vec<Endpoint> = (0..4).map(|key| holder(key, 0)).collect();
+fn an_endpoint_that_is_down_or_excluded_counts_as_capacity_but_is_not_chosen() {
+    let mut fleet: Vec<Endpoint> = (0..4).map(|key| span_endpoint(key, 0)).collect();
     fleet[0].state = EndpointState::Down;
     let keys = |parts: Vec<Part>| parts.iter().map(|part| part.endpoint.0).collect::<Vec<_>>();
-    assert_eq!(planned(fleet.clone(), 900_000).map(keys), Ok(vec![1, 2, 3]));
+    assert_eq!(
+        plan_with_defaults(fleet.clone(), 900_000).map(keys),
+        Ok(vec![1, 2, 3])
+    );
     let tried = [EndpointKey(1)];
     let request = RoutingRequest {
         excluded: &tried,
@@ -79,18 +89,19 @@
 }
 
 #[test]
-fn endpoints_that_do_not_declare_spans_are_left_alone() {
+fn endpoints_that_do_not_declare_spans_are_not_used() {
     let plain = (0..4).map(endpoint).collect();
     assert_eq!(
-        planned(plain, 600_000),
+        plan_with_defaults(plain, 600_000),
         Err(RoutingError::PromptExceedsMemory)
     );
 }
 
 #[test]
-fn no_part_exceeds_its_endpoint_and_none_is_empty() {
+fn no_part_exceeds_its_endpoints_memory_and_none_is_empty() {
     for tokens in [400_000, 650_000, 700_001, 899_999, 980_000] {
-        let parts = planned((0..4).map(|key| holder(key, 0)).collect(), tokens).unwrap();
+        let parts =
+            plan_with_defaults((0..4).map(|key| span_endpoint(key, 0)).collect(), tokens).unwrap();
         let sum: u64 = parts.iter().map(|part| part.prompt_tokens).sum();
         assert_eq!(sum, tokens);
         for part in &parts {
@@ -103,8 +114,8 @@
 }
 
 #[test]
-fn a_whole_copy_at_the_home_leaves_no_plan() {
-    let fleet = view((0..4).map(|key| holder(key, 0)).collect());
+fn there_is_no_plan_if_the_home_stores_a_full_copy() {
+    let fleet = view((0..4).map(|key| span_endpoint(key, 0)).collect());
     let options = Options {
         import_ratio: 1,
         ..Options::default()
@@ -114,8 +125,8 @@
 }
 
 #[test]
-fn a_busy_fleet_is_predicted_as_if_idle() {
-    let fleet = |used| view((0..4).map(|key| holder(key, used)).collect());
+fn time_to_first_token_is_predicted_for_an_idle_fleet_with_all_endpoints_live() {
+    let fleet = |used| view((0..4).map(|key| span_endpoint(key, used)).collect());
     let predicted = |used| first_token_ms(&fleet(used), &request(700_000), &Options::default());
     let idle_ms = predicted(0).unwrap();
     assert!(idle_ms > 0);
