--- a/crates/mgs-routing/benches/decision.rs
+++ b/crates/mgs-routing/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Cost of one decision: admit a request, choose its endpoint, and note its end.
+//! Benchmark of one routing decision: admits a request, chooses its endpoint and records its end.
 //!
 //! `cargo bench -p mgs-routing --bench decision`
 
@@ -31,28 +31,31 @@
 use mgs_schema::wire::LoadReport;
 use mgs_schema::wire::Outcome;
 
+/// Organisations that send requests.
 const ORGANISATIONS: usize = 4_400;
 const ZONES: usize = 19;
 const MODEL: &str = "m0";
-const PROMPT_BLOCKS: u64 = 32;
+const PREFIX_BLOCKS: u64 = 32;
 
-/// When the load was reported, in milliseconds.
+/// Time of all load reports, in milliseconds.
 const REPORTED_MS: u64 = 1_000_000;
 
 /// Age of the reports when an endpoint is chosen, in milliseconds.
 const REPORT_AGE_MS: u64 = 100;
 
-/// Dispatches are dated before the reports, which thus account for them: the bench dispatches far
-/// more in a second than the fleet that it describes could take.
+/// Time passed for dispatches, in milliseconds. It lies before the load reports, so that these
+/// include the dispatched work: the benchmark dispatches far more per second than the modelled
+/// fleet could process.
 const DISPATCHED_MS: u64 = REPORTED_MS - 1_000;
 
+/// Adapter by which the admission queue asks the policy for an endpoint.
 struct FleetRoom<'a> {
     policy: &'a Marigold,
     view: &'a View,
-    hashes: &'a [u64],
+    prefix_hashes: &'a [u64],
     now_ms: u64,
     random: u64,
-    last: RefCell<Option<Choice>>,
+    last_choice: RefCell<Option<Choice>>,
 }
 
 impl FleetRoom<'_> {
@@ -63,7 +66,7 @@
             prompt_tokens: offer.prompt_tokens,
             max_tokens: offer.max_tokens,
             priority: 1,
-            prefix_hashes: self.hashes,
+            prefix_hashes: self.prefix_hashes,
             zone: "zone-0",
             excluded: &[],
             budget_ms: 10_000,
@@ -79,12 +82,12 @@
             .choose(self.view, &self.request(offer), self.random);
         let choice = choice.ok()?;
         let first_token_ms = choice.first_token_ms;
-        self.last.replace(Some(choice));
+        self.last_choice.replace(Some(choice));
         Some(first_token_ms)
     }
 
     fn taken(&mut self, offer: &Offer) {
-        if let Some(choice) = self.last.borrow().as_ref() {
+        if let Some(choice) = self.last_choice.borrow().as_ref() {
             let request = RoutingRequest {
                 now_ms: DISPATCHED_MS,
                 ..self.request(offer)
@@ -155,16 +158,16 @@
     fleet.view()
 }
 
-fn decide(c: &mut Criterion) {
+fn admit_and_route(c: &mut Criterion) {
     let mut group = c.benchmark_group("admit_and_route");
-    // Endpoints and the models that they share.
+    // Number of endpoints, and of models distributed over them.
     for (endpoints, models) in [(20, 1), (5_300, 6), (5_300, 1)] {
         let settings = settings(endpoints, models);
         let view = live_view(&settings);
         let policy = Marigold::default();
         let mut admission = FairQueue::default();
         admission.settings(0, &settings);
-        let hashes: Vec<u64> = (0..PROMPT_BLOCKS).collect();
+        let prefix_hashes: Vec<u64> = (0..PREFIX_BLOCKS).collect();
         let offers: Vec<Offer> = (0..ORGANISATIONS)
             .map(|i| Offer {
                 id: RequestId {
@@ -174,7 +177,7 @@
                 organisation: format!("organisation-{i}"),
                 kind: "chat".into(),
                 model: MODEL.into(),
-                prompt_tokens: PROMPT_BLOCKS * 256,
+                prompt_tokens: PREFIX_BLOCKS * 256,
                 max_tokens: 256,
                 arrived_ms: 0,
                 deadline_ms: u64::MAX / 2,
@@ -192,14 +195,14 @@
                 let mut room = FleetRoom {
                     policy: &policy,
                     view: &view,
-                    hashes: &hashes,
+                    prefix_hashes: &prefix_hashes,
                     now_ms: REPORTED_MS + REPORT_AGE_MS,
                     random: serial.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-                    last: RefCell::new(None),
+                    last_choice: RefCell::new(None),
                 };
                 let actions = admission.next(now_ms, &mut room);
                 assert_eq!(actions.len(), 1);
-                let endpoint = room.last.borrow().as_ref().map(|c| c.endpoint);
+                let endpoint = room.last_choice.borrow().as_ref().map(|c| c.endpoint);
                 let endpoint = endpoint.expect("it was chosen");
                 let request = room.request(&offer);
                 policy.finished(endpoint, &request, Outcome::Answered);
@@ -210,5 +213,5 @@
     group.finish();
 }
 
-criterion_group!(benches, decide);
+criterion_group!(benches, admit_and_route);
 criterion_main!(benches);
--- a/crates/mgs-routing/benches/trial/main.rs
+++ b/crates/mgs-routing/benches/trial/main.rs
@@ -1,5 +1,5 @@
-//! Trials of policies against modelled engines, without sockets or clocks, to choose what the
-//! `load` command then measures. Its figures are trials, not results.
+//! Simulates the policies against modelled engines, without sockets or real time, to select what
+//! the `load` command then measures. Its figures are trials, not results.
 //!
 //! `cargo bench -p mgs-routing --bench trial -- [load=0.8] [seconds=120] [seed=1] [flood=1]
 //! [slow=1] [only=NAME]`
@@ -18,23 +18,27 @@
 use mgs_routing::policy;
 use mgs_routing::policy::Policy;
 
-use crate::run::Figures;
+use crate::run::Measurements;
+use crate::run::PolicyUnderTest;
 use crate::run::Run;
-use crate::run::Subject;
 
+/// Number of simulated gateways.
 const GATEWAYS: usize = 3;
 
-/// Tokens a second that 20 engines process when prefill and decode share their steps.
+/// Tokens per second that 20 engines process when prefill and decode share their steps.
 const CAPACITY_TOKENS_PER_S: f64 = 270_000.0;
 
+/// Value of the command-line argument `NAME=VALUE`, or the default.
 fn setting(name: &str, default: f64) -> f64 {
     let prefix = format!("{name}=");
-    let found = std::env::args().find_map(|a| a.strip_prefix(&prefix).map(str::to_owned));
-    found.and_then(|v| v.parse().ok()).unwrap_or(default)
+    let value = std::env::args().find_map(|a| a.strip_prefix(&prefix).map(str::to_owned));
+    value.and_then(|v| v.parse().ok()).unwrap_or(default)
 }
 
-fn subject(name: &str) -> Subject {
-    let own = name.starts_with("marigold");
+/// Creates a policy per gateway, with the fair admission queue for the default policy and a FIFO
+/// queue for the baselines.
+fn policy_under_test(name: &str) -> PolicyUnderTest {
+    let is_default = name.starts_with("marigold");
     let policy = |_| -> Arc<dyn Policy> {
         match policy::by_name(name) {
             Some(policy) => policy,
@@ -42,17 +46,20 @@
         }
     };
     let admission = |_| -> Box<dyn Admission> {
-        queue::by_name(if own { "fair" } else { "fifo" }).expect("both are known")
+        queue::by_name(if is_default { "fair" } else { "fifo" }).expect("both are known")
     };
-    Subject {
+    PolicyUnderTest {
         policies: (0..GATEWAYS).map(policy).collect(),
         admissions: (0..GATEWAYS).map(admission).collect(),
     }
 }
 
-fn share(figures: &Figures) -> f64 {
-    let got = figures.by_organisation[1..].iter();
-    got.map(|(offered, got)| *got as f64 / (*offered).max(1) as f64)
+/// Smallest share of the offered prompt tokens that was answered in time, of all organisations but
+/// the first, which may flood; at most 1.
+fn least_answered_share(measurements: &Measurements) -> f64 {
+    let answered = measurements.by_organisation[1..].iter();
+    answered
+        .map(|(offered, answered)| *answered as f64 / (*offered).max(1) as f64)
         .fold(1.0, f64::min)
 }
 
@@ -64,46 +71,54 @@
         seconds,
         tokens_per_s: CAPACITY_TOKENS_PER_S * load,
         short_only,
-        flood: setting("flood", 1.0),
+        flood_factor: setting("flood", 1.0),
         gateways: GATEWAYS,
     };
-    let mixed = workload::generate(&options(false));
-    let alone = workload::generate(&options(true));
+    let all_requests = workload::generate(&options(false));
+    let short_requests = workload::generate(&options(true));
     println!(
         "load {load}, {seconds} s, {} requests, trial figures",
-        mixed.len()
+        all_requests.len()
     );
     let only = std::env::args().find_map(|a| a.strip_prefix("only=").map(str::to_owned));
     for name in policy::NAMES {
         if only.as_ref().is_some_and(|only| only != name) {
             continue;
         }
-        let run =
-            |arrivals| Run::new(arrivals, subject(name), seconds, setting("slow", 1.0)).finish();
-        let figures = run(&mixed);
-        let short_alone = run(&alone);
-        let p95 = |f: &Figures, band: usize| f.first_token_ms[band].value_at_quantile(0.95);
-        let slowdown = p95(&figures, 0) as f64 / p95(&short_alone, 0).max(1) as f64;
+        let run = |arrivals| {
+            Run::new(
+                arrivals,
+                policy_under_test(name),
+                seconds,
+                setting("slow", 1.0),
+            )
+            .run_to_end()
+        };
+        let measurements = run(&all_requests);
+        let short_only_measurements = run(&short_requests);
+        let p95 = |f: &Measurements, band: usize| f.first_token_ms[band].value_at_quantile(0.95);
+        let slowdown =
+            p95(&measurements, 0) as f64 / p95(&short_only_measurements, 0).max(1) as f64;
         print!("{name:18}");
         for band in 0..3 {
-            let histogram = &figures.first_token_ms[band];
+            let histogram = &measurements.first_token_ms[band];
             let at = |q| histogram.value_at_quantile(q);
             print!(" | {:>6} {:>6} {:>6}", at(0.5), at(0.95), at(0.99));
         }
         for band in 0..3 {
-            let count = figures.first_token_ms[band].len().max(1);
+            let count = measurements.first_token_ms[band].len().max(1);
             let means = [
-                figures.queued_ms[band] / count,
-                figures.engine_ms[band] / count,
+                measurements.queued_ms[band] / count,
+                measurements.engine_ms[band] / count,
             ];
             print!(" {means:?}");
         }
         println!(
             " | slowdown {slowdown:5.2} goodput {:>7.0}/s least share {:.2} late {} refused {:?}",
-            figures.answered_tokens as f64 / (seconds as f64 * 0.9),
-            share(&figures),
-            figures.late,
-            figures.refused,
+            measurements.answered_tokens as f64 / (seconds as f64 * 0.9),
+            least_answered_share(&measurements),
+            measurements.expired,
+            measurements.refusals,
         );
     }
 }
--- a/crates/mgs-routing/benches/trial/run.rs
+++ b/crates/mgs-routing/benches/trial/run.rs
@@ -1,4 +1,5 @@
-//! One run: gateways with the real decisions, engines by steps, events in order of time.
+//! Discrete-event simulation of one run: gateways use the real policy and admission queue, engines
+//! are modelled in steps.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -33,37 +34,44 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::engine::Engine;
-use crate::engine::Event;
+use crate::engine::EngineEvent;
 use crate::engine::Job;
 use crate::workload;
 use crate::workload::Arrival;
 
+/// Number of simulated engines.
 const ENGINES: usize = 20;
-const HOP_MS: u64 = 1;
-const REPORT_MS: u64 = 100;
-const CACHE_DELAY_MS: u64 = 200;
-const TICK_MS: u64 = 10;
+/// Network latency between gateway and engine in one zone; doubled between zones.
+const HOP_LATENCY_MS: u64 = 1;
+/// Interval of an engine's load reports.
+const REPORT_INTERVAL_MS: u64 = 100;
+/// Delay until a load report includes a change of the prefix cache.
+const CACHE_REPORT_DELAY_MS: u64 = 200;
+/// Interval at which a gateway polls its admission queue.
+const TICK_INTERVAL_MS: u64 = 10;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A policy under trial.
-pub(crate) struct Subject {
+/// The policy to simulate, with one instance and one admission queue per gateway.
+pub(crate) struct PolicyUnderTest {
     pub(crate) policies: Vec<Arc<dyn Policy>>,
     pub(crate) admissions: Vec<Box<dyn Admission>>,
 }
 
-/// What was measured.
-pub(crate) struct Figures {
+/// Measurements of a run, without the requests of the warm-up. Arrays and `first_token_ms` are
+/// indexed by length band; `by_organisation` holds offered and answered prompt tokens.
+pub(crate) struct Measurements {
     pub(crate) first_token_ms: Vec<Histogram<u64>>,
-    pub(crate) refused: HashMap<String, u64>,
+    pub(crate) refusals: HashMap<String, u64>,
     pub(crate) answered_tokens: u64,
     pub(crate) by_organisation: Vec<(u64, u64)>,
-    pub(crate) late: u64,
+    pub(crate) expired: u64,
     pub(crate) queued_ms: [u64; 3],
     pub(crate) engine_ms: [u64; 3],
 }
 
+/// An event of the simulation. Numbers are indices of arrivals, engines and gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum SimulationEvent {
     Arrive(usize),
     AtSidecar { id: usize, engine: usize },
     Step(usize),
@@ -78,6 +86,7 @@
     admission: Box<dyn Admission>,
 }
 
+/// Adapter by which the admission queue asks the policy for an endpoint.
 struct FleetRoom<'a> {
     policy: &'a dyn Policy,
     view: &'a View,
@@ -85,8 +94,8 @@
     now_ms: u64,
     arrivals: &'a [Arrival],
     rng: RefCell<&'a mut ChaCha8Rng>,
-    last: RefCell<Option<(u64, Choice)>>,
-    chosen: HashMap<u64, Choice>,
+    last_choice: RefCell<Option<(u64, Choice)>>,
+    choices: HashMap<u64, Choice>,
 }
 
 fn request<'a>(arrival: &'a Arrival, zone: &'a str, now_ms: u64) -> RoutingRequest<'a> {
@@ -111,35 +120,37 @@
         let random = self.rng.borrow_mut().random();
         let choice = self.policy.choose(self.view, &request, random).ok()?;
         let first_token_ms = choice.first_token_ms;
-        self.last.replace(Some((offer.id.serial, choice)));
+        self.last_choice.replace(Some((offer.id.serial, choice)));
         Some(first_token_ms)
     }
 
     fn taken(&mut self, offer: &Offer) {
-        let Some((serial, choice)) = self.last.take() else {
+        let Some((serial, choice)) = self.last_choice.take() else {
             return;
         };
         let arrival = &self.arrivals[offer.id.serial as usize];
         let request = request(arrival, self.zone, self.now_ms);
         self.policy.dispatched(choice.endpoint, &request);
-        self.chosen.insert(serial, choice);
+        self.choices.insert(serial, choice);
     }
 }
 
-/// The run.
+/// State of the simulation.
 pub(crate) struct Run<'a> {
     arrivals: &'a [Arrival],
     gateways: Vec<Gateway>,
     engines: Vec<Engine>,
-    stepping: Vec<bool>,
-    reports: Vec<u64>,
-    cache_news: Vec<Vec<(u64, u64, bool)>>,
-    queue: BinaryHeap<Reverse<(u64, u64, Happening)>>,
-    order: u64,
-    placed: Vec<Option<(usize, u64, u64)>>,
-    figures: Figures,
+    is_stepping: Vec<bool>,
+    report_counts: Vec<u64>,
+    /// By engine: time, block hash, and whether it was inserted (or evicted).
+    pending_cache_changes: Vec<Vec<(u64, u64, bool)>>,
+    event_queue: BinaryHeap<Reverse<(u64, u64, SimulationEvent)>>,
+    sequence: u64,
+    /// By arrival: engine, dispatch time and predicted time to first token.
+    dispatches: Vec<Option<(usize, u64, u64)>>,
+    measurements: Measurements,
     rng: ChaCha8Rng,
-    warm_ms: u64,
+    warmup_end_ms: u64,
     end_ms: u64,
 }
 
@@ -169,13 +180,18 @@
 }
 
 impl<'a> Run<'a> {
-    pub(crate) fn new(arrivals: &'a [Arrival], subject: Subject, seconds: u64, slow: f64) -> Self {
+    pub(crate) fn new(
+        arrivals: &'a [Arrival],
+        tested: PolicyUnderTest,
+        seconds: u64,
+        first_engine_speed: f64,
+    ) -> Self {
         let settings = settings();
         let mut gateways = Vec::new();
-        for (i, (policy, mut admission)) in subject
+        for (i, (policy, mut admission)) in tested
             .policies
             .into_iter()
-            .zip(subject.admissions)
+            .zip(tested.admissions)
             .enumerate()
         {
             let mut fleet = Fleet::new(fleet::Options {
@@ -196,69 +212,73 @@
                 admission,
             });
         }
-        let speed = |i: usize| if i == 0 { slow } else { 1.0 };
+        let speed = |i: usize| if i == 0 { first_engine_speed } else { 1.0 };
         let mut run = Self {
             arrivals,
             engines: (0..ENGINES).map(|i| Engine::new(speed(i))).collect(),
-            stepping: vec![false; ENGINES],
-            reports: vec![0; ENGINES],
-            cache_news: vec![Vec::new(); ENGINES],
-            queue: BinaryHeap::new(),
-            order: 0,
-            placed: vec![None; arrivals.len()],
-            figures: Figures {
+            is_stepping: vec![false; ENGINES],
+            report_counts: vec![0; ENGINES],
+            pending_cache_changes: vec![Vec::new(); ENGINES],
+            event_queue: BinaryHeap::new(),
+            sequence: 0,
+            dispatches: vec![None; arrivals.len()],
+            measurements: Measurements {
                 first_token_ms: (0..3).map(|_| Histogram::new(3).expect("valid")).collect(),
-                refused: HashMap::new(),
+                refusals: HashMap::new(),
                 answered_tokens: 0,
                 by_organisation: vec![(0, 0); workload::ORGANISATIONS],
-                late: 0,
+                expired: 0,
                 queued_ms: [0; 3],
                 engine_ms: [0; 3],
             },
             rng: ChaCha8Rng::seed_from_u64(7),
-            warm_ms: seconds * 1_000 / 10,
+            warmup_end_ms: seconds * 1_000 / 10,
             end_ms: seconds * 1_000,
             gateways,
         };
         for (i, arrival) in arrivals.iter().enumerate() {
-            run.at(arrival.at_ms, Happening::Arrive(i));
+            run.schedule(arrival.at_ms, SimulationEvent::Arrive(i));
         }
         for engine in 0..ENGINES {
-            run.at(engine as u64 * 5, Happening::Report(engine));
+            run.schedule(engine as u64 * 5, SimulationEvent::Report(engine));
         }
         for gateway in 0..run.gateways.len() {
-            run.at(gateway as u64 * 3, Happening::Tick(gateway));
+            run.schedule(gateway as u64 * 3, SimulationEvent::Tick(gateway));
         }
         run
     }
 
-    fn at(&mut self, at_ms: u64, happening: Happening) {
-        self.order += 1;
-        self.queue.push(Reverse((at_ms, self.order, happening)));
+    /// Schedules an event; events of the same time are handled in the order of scheduling.
+    fn schedule(&mut self, at_ms: u64, event: SimulationEvent) {
+        self.sequence += 1;
+        self.event_queue
+            .push(Reverse((at_ms, self.sequence, event)));
     }
 
-    pub(crate) fn finish(mut self) -> Figures {
+    /// Handles all events until 300 s after the end of the arrivals, and returns the measurements.
+    pub(crate) fn run_to_end(mut self) -> Measurements {
         let last_ms = self.end_ms + 300_000;
-        while let Some(Reverse((now_ms, _, happening))) = self.queue.pop() {
+        while let Some(Reverse((now_ms, _, event))) = self.event_queue.pop() {
             if now_ms > last_ms {
                 break;
             }
-            match happening {
-                Happening::Arrive(id) => self.arrive(now_ms, id),
-                Happening::AtSidecar { id, engine } => self.at_sidecar(now_ms, id, engine),
-                Happening::Step(engine) => self.step(now_ms, engine),
-                Happening::Report(engine) => self.report(now_ms, engine),
-                Happening::Tick(gateway) => {
-                    self.pump(now_ms, gateway);
-                    self.at(now_ms + TICK_MS, Happening::Tick(gateway));
+            match event {
+                SimulationEvent::Arrive(id) => self.arrive(now_ms, id),
+                SimulationEvent::AtSidecar { id, engine } => self.at_sidecar(now_ms, id, engine),
+                SimulationEvent::Step(engine) => self.step(now_ms, engine),
+                SimulationEvent::Report(engine) => self.report(now_ms, engine),
+                SimulationEvent::Tick(gateway) => {
+                    self.dispatch_queued(now_ms, gateway);
+                    self.schedule(now_ms + TICK_INTERVAL_MS, SimulationEvent::Tick(gateway));
                 }
             }
         }
-        self.figures
+        self.measurements
     }
 
-    fn counts(&self, id: usize) -> bool {
-        self.arrivals[id].at_ms >= self.warm_ms
+    /// Whether the request arrived after the warm-up.
+    fn is_measured(&self, id: usize) -> bool {
+        self.arrivals[id].at_ms >= self.warmup_end_ms
     }
 
     fn arrive(&mut self, now_ms: u64, id: usize) {
@@ -277,55 +297,61 @@
             arrived_ms: now_ms,
             deadline_ms: now_ms + arrival.allotted_ms,
         };
-        if self.counts(id) {
-            self.figures.by_organisation[arrival.organisation].0 += arrival.prompt_tokens;
+        if self.is_measured(id) {
+            self.measurements.by_organisation[arrival.organisation].0 += arrival.prompt_tokens;
         }
         match self.gateways[gateway].admission.offer(now_ms, &offer) {
-            Verdict::Queued => self.pump(now_ms, gateway),
-            Verdict::Refused { reason, .. } => self.refused(id, format!("{reason:?}")),
+            Verdict::Queued => self.dispatch_queued(now_ms, gateway),
+            Verdict::Refused { reason, .. } => self.record_refusal(id, format!("{reason:?}")),
         }
     }
 
-    fn refused(&mut self, id: usize, reason: String) {
-        if self.counts(id) {
-            let band = workload::BANDS[workload::band(self.arrivals[id].prompt_tokens)].1;
-            let who = if self.arrivals[id].organisation == 0 {
+    fn record_refusal(&mut self, id: usize, reason: String) {
+        if self.is_measured(id) {
+            let band =
+                workload::LENGTH_BANDS[workload::length_band(self.arrivals[id].prompt_tokens)].1;
+            let organisation = if self.arrivals[id].organisation == 0 {
                 "first"
             } else {
                 "others"
             };
-            let reason = format!("{reason} {band} {who}");
-            *self.figures.refused.entry(reason).or_default() += 1;
+            let reason = format!("{reason} {band} {organisation}");
+            *self.measurements.refusals.entry(reason).or_default() += 1;
         }
     }
 
-    fn pump(&mut self, now_ms: u64, gateway: usize) {
-        let g = &mut self.gateways[gateway];
+    /// Dispatches the requests that the gateway's admission queue releases.
+    fn dispatch_queued(&mut self, now_ms: u64, gateway: usize) {
+        let gateway_state = &mut self.gateways[gateway];
         let mut room = FleetRoom {
-            policy: g.policy.as_ref(),
-            view: &g.view,
+            policy: gateway_state.policy.as_ref(),
+            view: &gateway_state.view,
             zone: ZONES[gateway % 3],
             now_ms,
             arrivals: self.arrivals,
             rng: RefCell::new(&mut self.rng),
-            last: RefCell::new(None),
-            chosen: HashMap::new(),
+            last_choice: RefCell::new(None),
+            choices: HashMap::new(),
         };
-        let actions = g.admission.next(now_ms, &mut room);
-        let chosen = room.chosen;
+        let actions = gateway_state.admission.next(now_ms, &mut room);
+        let choices = room.choices;
         for action in actions {
             match action {
                 Action::Start(id) => {
-                    let choice = &chosen[&id.serial];
+                    let choice = &choices[&id.serial];
                     let engine = choice.endpoint.0 as usize;
                     let id = id.serial as usize;
-                    self.placed[id] = Some((engine, now_ms, choice.first_token_ms));
-                    let far = ZONES[gateway % 3] != ZONES[engine % 3];
-                    let hop_ms = if far { 2 * HOP_MS } else { HOP_MS };
-                    self.at(now_ms + hop_ms, Happening::AtSidecar { id, engine });
+                    self.dispatches[id] = Some((engine, now_ms, choice.first_token_ms));
+                    let crosses_zones = ZONES[gateway % 3] != ZONES[engine % 3];
+                    let hop_ms = if crosses_zones {
+                        2 * HOP_LATENCY_MS
+                    } else {
+                        HOP_LATENCY_MS
+                    };
+                    self.schedule(now_ms + hop_ms, SimulationEvent::AtSidecar { id, engine });
                 }
                 Action::Refuse { id, reason, .. } => {
-                    self.refused(id.serial as usize, format!("{reason:?}"));
+                    self.record_refusal(id.serial as usize, format!("{reason:?}"));
                 }
             }
         }
@@ -343,11 +369,11 @@
             answer_tokens: arrival.answer_tokens.max(1),
             hashes: arrival.hashes.clone(),
             deadline_ms: arrival.at_ms + arrival.allotted_ms,
-            left_tokens: arrival.prompt_tokens,
-            generated: 0,
-            bypassed: 0,
+            remaining_prompt_tokens: arrival.prompt_tokens,
+            generated_tokens: 0,
+            bypass_count: 0,
         });
-        if !self.stepping[engine] {
+        if !self.is_stepping[engine] {
             self.step(now_ms, engine);
         }
     }
@@ -356,41 +382,43 @@
         let mut events = Vec::new();
         let took_ms = self.engines[engine].step(now_ms, &mut events);
         let end_ms = now_ms + took_ms.unwrap_or(0.0).ceil() as u64;
-        self.stepping[engine] = took_ms.is_some();
+        self.is_stepping[engine] = took_ms.is_some();
         if took_ms.is_some() {
-            self.at(end_ms, Happening::Step(engine));
+            self.schedule(end_ms, SimulationEvent::Step(engine));
         }
         for event in events {
-            self.event(end_ms, event);
+            self.handle_engine_event(end_ms, event);
         }
     }
 
-    fn event(&mut self, now_ms: u64, event: Event) {
+    fn handle_engine_event(&mut self, now_ms: u64, event: EngineEvent) {
         let id = match event {
-            Event::FirstToken { id } | Event::Finished { id } | Event::Late { id } => id,
+            EngineEvent::FirstToken { id }
+            | EngineEvent::Finished { id }
+            | EngineEvent::Expired { id } => id,
         };
         let arrival = &self.arrivals[id];
-        let Some((engine, dispatched_ms, predicted_ms)) = self.placed[id] else {
+        let Some((engine, dispatched_ms, predicted_ms)) = self.dispatches[id] else {
             return;
         };
         let gateway = &mut self.gateways[arrival.gateway];
         let key = EndpointKey(engine as u32);
         let request = request(arrival, ZONES[arrival.gateway % 3], now_ms);
         match event {
-            Event::FirstToken { .. } => {
+            EngineEvent::FirstToken { .. } => {
                 let took_ms = now_ms - dispatched_ms;
                 gateway
                     .policy
                     .first_token(key, &request, predicted_ms, took_ms);
-                let first_token_ms = now_ms + HOP_MS - arrival.at_ms;
-                if self.counts(id) {
-                    let band = workload::band(arrival.prompt_tokens);
-                    self.figures.queued_ms[band] += dispatched_ms - arrival.at_ms;
-                    self.figures.engine_ms[band] += took_ms;
-                    self.figures.first_token_ms[band] += first_token_ms;
+                let first_token_ms = now_ms + HOP_LATENCY_MS - arrival.at_ms;
+                if self.is_measured(id) {
+                    let band = workload::length_band(arrival.prompt_tokens);
+                    self.measurements.queued_ms[band] += dispatched_ms - arrival.at_ms;
+                    self.measurements.engine_ms[band] += took_ms;
+                    self.measurements.first_token_ms[band] += first_token_ms;
                 }
             }
-            Event::Finished { .. } => {
+            EngineEvent::Finished { .. } => {
                 gateway.policy.finished(key, &request, Outcome::Answered);
                 let request_id = RequestId {
                     origin: 0,
@@ -400,45 +428,49 @@
                     .admission
                     .finished(now_ms, request_id, arrival.answer_tokens);
                 let in_time = now_ms <= arrival.at_ms + arrival.allotted_ms;
-                if self.counts(id) && now_ms <= self.end_ms && in_time {
-                    self.figures.answered_tokens += arrival.prompt_tokens + arrival.answer_tokens;
+                if self.is_measured(id) && now_ms <= self.end_ms && in_time {
+                    self.measurements.answered_tokens +=
+                        arrival.prompt_tokens + arrival.answer_tokens;
                 }
-                if self.counts(id) && in_time {
-                    self.figures.by_organisation[arrival.organisation].1 += arrival.prompt_tokens;
+                if self.is_measured(id) && in_time {
+                    self.measurements.by_organisation[arrival.organisation].1 +=
+                        arrival.prompt_tokens;
                 }
             }
-            Event::Late { .. } => {
+            EngineEvent::Expired { .. } => {
                 gateway.policy.finished(key, &request, Outcome::Unspecified);
                 let request_id = RequestId {
                     origin: 0,
                     serial: id as u64,
                 };
                 gateway.admission.finished(now_ms, request_id, 0);
-                self.figures.late += u64::from(self.arrivals[id].at_ms >= self.warm_ms);
+                self.measurements.expired +=
+                    u64::from(self.arrivals[id].at_ms >= self.warmup_end_ms);
             }
         }
     }
 
     fn report(&mut self, now_ms: u64, engine: usize) {
-        self.reports[engine] += 1;
-        let e = &mut self.engines[engine];
-        let news = std::mem::take(&mut e.news);
-        self.cache_news[engine].extend(news.into_iter().map(|(h, c)| (now_ms, h, c)));
-        let due = |n: &(u64, u64, bool)| n.0 + CACHE_DELAY_MS <= now_ms;
-        let split = self.cache_news[engine].partition_point(due);
-        let due: Vec<_> = self.cache_news[engine].drain(..split).collect();
-        let (waiting_requests, running_requests) = e.counts();
+        self.report_counts[engine] += 1;
+        let engine_model = &mut self.engines[engine];
+        let cache_changes = std::mem::take(&mut engine_model.cache_changes);
+        self.pending_cache_changes[engine]
+            .extend(cache_changes.into_iter().map(|(h, c)| (now_ms, h, c)));
+        let due = |n: &(u64, u64, bool)| n.0 + CACHE_REPORT_DELAY_MS <= now_ms;
+        let split = self.pending_cache_changes[engine].partition_point(due);
+        let due: Vec<_> = self.pending_cache_changes[engine].drain(..split).collect();
+        let (waiting_requests, running_requests) = engine_model.request_counts();
         let report = LoadReport {
             incarnation: 1,
-            report: self.reports[engine],
+            report: self.report_counts[engine],
             state: EndpointState::Live.into(),
             waiting_requests,
             running_requests,
-            prefill_waiting_tokens: e.prefill_waiting(u64::MAX),
-            short_prefill_waiting_tokens: e.prefill_waiting(SHORT_PROMPT_TOKENS),
-            kv_used_tokens: e.used_tokens(),
-            kv_capacity_tokens: e.capacity_tokens(),
-            prefill_tokens_per_s: e.rate_per_s(),
+            prefill_waiting_tokens: engine_model.prefill_waiting_tokens(u64::MAX),
+            short_prefill_waiting_tokens: engine_model.prefill_waiting_tokens(SHORT_PROMPT_TOKENS),
+            kv_used_tokens: engine_model.kv_used_tokens(),
+            kv_capacity_tokens: engine_model.kv_capacity_tokens(),
+            prefill_tokens_per_s: engine_model.prefill_tokens_per_s(),
             decode_step_ms: 12.0,
             cached_hashes: due.iter().filter(|n| n.2).map(|n| n.1).collect(),
             evicted_hashes: due.iter().filter(|n| !n.2).map(|n| n.1).collect(),
@@ -449,6 +481,6 @@
             gateway.fleet.report(now_ms, key, &report);
             gateway.view = gateway.fleet.view();
         }
-        self.at(now_ms + REPORT_MS, Happening::Report(engine));
+        self.schedule(now_ms + REPORT_INTERVAL_MS, SimulationEvent::Report(engine));
     }
 }
