--- a/crates/mgs-placing/tests/emulator/gateway.rs
+++ b/crates/mgs-placing/tests/emulator/gateway.rs
@@ -457,9 +457,10 @@
     /// Records the load of a prompt and schedules its sending at the end of its hold time.
     fn send(&mut self, emulator: &mut Emulator, prompt: usize, need: &Need, placement: Placement) {
         // Nothing else can use up the limit between the choice and this call.
-        let permit = self
-            .limit_table
-            .permit(IncarnationHash(u64::from(placement.lead.0)), emulator.now_ms);
+        let permit = self.limit_table.permit(
+            IncarnationHash(u64::from(placement.lead.0)),
+            emulator.now_ms,
+        );
         assert!(permit.is_ok(), "{permit:?}");
         if let Some(band) = dispatch::length_band(need, &emulator.model, &self.dispatch_options) {
             self.length_counter.count_sent(band, emulator.now_ms);
--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -18,7 +18,7 @@
 use mgs_placing::queue_order::QueueHeads;
 use mgs_placing::queue_order::Score;
 use mgs_placing::spare_slots::SpareSlotRate;
-use mgs_routing::outlier::Outliers;
+use mgs_routing::outlier::OutlierDetector;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::Notify;
@@ -76,7 +76,7 @@
     /// How many long prompts of each length arrived at this gateway and how many of them were sent.
     pub(crate) lengths: RefCell<LengthCounter>,
     /// Failing endpoints that are skipped for a while.
-    pub(crate) outliers: Outliers,
+    pub(crate) outliers: OutlierDetector,
     /// Endpoints that refuse to read parts of prompts that other endpoints answer.
     pub(crate) helpers: RefCell<HelperRefusals>,
     /// Rate limits, pauses and shutdown notices that endpoints ask their senders to observe.
--- a/crates/mgs-relay/src/dispatch_outcome.rs
+++ b/crates/mgs-relay/src/dispatch_outcome.rs
@@ -25,24 +25,24 @@
         let key = placed.endpoint.key;
         let end = match ended {
             DispatchResult::Whole { head, .. } if head.status.is_server_error() => {
-                core.outliers.failed(key, now_ms);
+                core.outliers.record_failure(key, now_ms);
                 "endpoint_error"
             }
             DispatchResult::Whole { .. } => {
                 core.record_response(&placed.endpoint);
-                core.outliers.answered(key);
+                core.outliers.record_answer(key);
                 "answered"
             }
             DispatchResult::Started { .. } => {
                 core.record_response(&placed.endpoint);
-                core.outliers.answered(key);
+                core.outliers.record_answer(key);
                 let sent_ms = now_ms.saturating_sub(took_ms);
                 core.helpers
                     .borrow_mut()
                     .record_help(&placed.helper_keys, sent_ms);
                 let predicted_ms = placed.first_token_ms as u64;
                 core.outliers
-                    .first_token(key, now_ms, predicted_ms, took_ms);
+                    .record_first_token(key, now_ms, predicted_ms, took_ms);
                 let late_ms = took_ms.saturating_sub(predicted_ms);
                 core.metrics.late_by_ms.observe(late_ms as f64);
                 "started"
@@ -57,7 +57,7 @@
                     core.note_connection_refused(key);
                 }
                 if *is_lost {
-                    core.outliers.failed(key, now_ms);
+                    core.outliers.record_failure(key, now_ms);
                 }
                 why
             }
@@ -69,7 +69,7 @@
                 HELPER_REFUSED
             }
             DispatchResult::Unknown { .. } => {
-                core.outliers.failed(key, now_ms);
+                core.outliers.record_failure(key, now_ms);
                 "unknown"
             }
         };
@@ -132,7 +132,8 @@
         let core = &self.core;
         let reason = core.help_refused(helper, is_reserved);
         if took_ms >= STALLED_MS {
-            core.outliers.failed(helper.key, core.now_whole_ms());
+            core.outliers
+                .record_failure(helper.key, core.now_whole_ms());
         }
         log::info!(
             request_id = self.client_request.request_id,
--- a/crates/mgs-relay/src/place.rs
+++ b/crates/mgs-relay/src/place.rs
@@ -14,7 +14,7 @@
 use mgs_placing::placement::Placement;
 use mgs_placing::plain;
 use mgs_placing::stream_group::StreamGroup;
-use mgs_routing::outlier::Standing;
+use mgs_routing::outlier::Health;
 
 use crate::core::Core;
 use crate::dialect::Helper;
@@ -70,7 +70,7 @@
     let present = listed.filter(|endpoint| !endpoint.facts.is_leaving);
     let present: Vec<Arc<Endpoint>> = present.cloned().collect();
     // Includes shut endpoints: the number of endpoints that may be ejected depends on all of them.
-    core.outliers.known(present.len());
+    core.outliers.set_endpoint_count(present.len());
     present
 }
 
@@ -84,7 +84,7 @@
     let now_ms = core.now_whole_ms();
     // The entry of a crashed endpoint lapses only seconds later, so refused connections count here.
     let is_healthy = |endpoint: &Arc<Endpoint>| {
-        core.outliers.standing(endpoint.key, now_ms) != Standing::Ejected
+        core.outliers.health(endpoint.key, now_ms) != Health::Ejected
             && !core.refuses_connections(endpoint.key)
     };
     let is_untried = |endpoint: &Arc<Endpoint>| !tried.contains(&endpoint.key);
@@ -102,7 +102,7 @@
 
 pub(crate) fn is_on_trial(core: &Core, endpoint: &Endpoint) -> bool {
     let now_ms = core.now_whole_ms();
-    core.outliers.standing(endpoint.key, now_ms) != Standing::Good
+    core.outliers.health(endpoint.key, now_ms) != Health::Healthy
 }
 
 /// Places a call of a service that has no engine model.
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -20,7 +20,7 @@
 use mgs_placing::options;
 use mgs_placing::spare_slots::SpareSlotRate;
 use mgs_routing::outlier;
-use mgs_routing::outlier::Outliers;
+use mgs_routing::outlier::OutlierDetector;
 use rand::rngs::SysRng;
 use rand::SeedableRng;
 use rand::TryRng;
@@ -95,7 +95,7 @@
             outliers: outlier::Options {
                 // An unreachable endpoint never answers, and each request that finds this out costs
                 // its client the time to connect elsewhere.
-                failures: 2,
+                consecutive_failures: 2,
                 ejection_ms: 1_000,
                 ejection_max_ms: 8_000,
                 ..outlier::Options::default()
@@ -179,7 +179,7 @@
         spare: RefCell::new(SpareSlotRate::default()),
         lengths: RefCell::new(LengthCounter::default()),
         waiting: RefCell::new(HashMap::new()),
-        outliers: Outliers::new(options.outliers),
+        outliers: OutlierDetector::new(options.outliers),
         helpers: RefCell::new(HelperRefusals::default()),
         backpressure: RefCell::new(Backpressure::new(options.backpressure.clone())),
         budget: RefCell::new(RetryBudget::default()),
--- a/crates/mgs-relay/src/stream.rs
+++ b/crates/mgs-relay/src/stream.rs
@@ -159,7 +159,7 @@
             let core = &self.dispatcher.core;
             tokio::task::spawn_local(lost_run::record_lost_run(core.clone(), run, lost));
             core.outliers
-                .failed(self.placed.endpoint.key, core.now_whole_ms());
+                .record_failure(self.placed.endpoint.key, core.now_whole_ms());
             match self.resume().await {
                 Resumed::Continued => {}
                 Resumed::AlreadyComplete => return StreamEnd::Whole,
