--- a/src/account/sheet.rs
+++ b/src/account/csv_export.rs
@@ -1,10 +1,10 @@
-//! The account as rows of comma-separated values, for a spreadsheet.
+//! Exports the account as comma-separated values, for a spreadsheet.
 
 use std::collections::BTreeMap;
 
 use super::Account;
 
-/// Names of the columns.
+/// Column names.
 const COLUMNS: [&str; 8] = [
     "second",
     "kind",
@@ -16,40 +16,40 @@
     "lost_units",
 ];
 
-/// What stands in one row.
-type Place = (u64, String, &'static str, String, String);
+/// Key of a row: second, kind, length label, availability zone and cause.
+type RowKey = (u64, String, &'static str, String, String);
 
-/// Rows by second, kind, length, availability zone and cause.
+/// Formats rows by second, kind, length, availability zone and cause. Fails if the CSV writer does.
 ///
 /// ```
-/// use marigoldstage::account::sheet;
+/// use marigoldstage::account::csv_export;
 /// use marigoldstage::account::Account;
 ///
-/// let text = sheet::text(&Account::default()).unwrap();
+/// let text = csv_export::to_csv(&Account::default()).unwrap();
 /// assert!(text.starts_with("second,kind,length,zone,cause,requests,units,lost_units\n"));
 /// ```
-pub fn text(account: &Account) -> Result<String, csv::Error> {
-    let mut rows: BTreeMap<Place, (u64, f64, f64)> = BTreeMap::new();
+pub fn to_csv(account: &Account) -> Result<String, csv::Error> {
+    let mut rows: BTreeMap<RowKey, (u64, f64, f64)> = BTreeMap::new();
     for outcome in &account.outcomes {
-        let place = (
-            outcome.at_s.max(0.0) as u64,
+        let key = (
+            outcome.arrived_s.max(0.0) as u64,
             outcome.kind.clone(),
-            outcome.length,
+            outcome.length_label,
             outcome.zone.clone(),
             outcome.cause.to_string(),
         );
-        let (requests, units, lost_units) = rows.entry(place).or_default();
+        let (requests, units, lost_units) = rows.entry(key).or_default();
         *requests += 1;
         *units += outcome.units;
         *lost_units += outcome.lost_units;
     }
     let mut writer = csv::Writer::from_writer(Vec::new());
     writer.write_record(COLUMNS)?;
-    for ((second, kind, length, zone, cause), (requests, units, lost_units)) in rows {
+    for ((second, kind, length_label, zone, cause), (requests, units, lost_units)) in rows {
         writer.write_record([
             second.to_string(),
             kind,
-            length.to_string(),
+            length_label.to_string(),
             zone,
             cause,
             requests.to_string(),
--- a/src/account/engines.rs
+++ b/src/account/engines.rs
@@ -1,4 +1,4 @@
-//! Which engines there were, and when all hosts were without power, as gateways' logs tell it.
+//! Reconstructs from the gateways' logs which engines were listed when, and when all hosts were down.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -6,68 +6,68 @@
 use mgs_placing::model::EngineModel;
 use serde_json::Value;
 
-use crate::explain::Line;
+use crate::explain::LogLine;
 
-/// A silence of all hosts before they start again counts as a loss of power if it is longer, in milliseconds.
-const DARK_MIN_MS: f64 = 300.0;
+/// Shortest gap without any log line, followed by a host start, that counts as an outage of all hosts, in milliseconds.
+const OUTAGE_MIN_SILENCE_MS: f64 = 300.0;
 
-/// When one endpoint was listed, in milliseconds after the first line.
+/// Interval in which one endpoint was listed, in milliseconds after the first line.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Life {
+struct ListedInterval {
     from_ms: f64,
     until_ms: f64,
 }
 
-/// The engines of a day.
+/// The engines that the logs of one run mention.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Engines {
-    /// Declared figures by service.
+pub struct EngineHistory {
+    /// Declared cost model of the engines, by service.
     models: BTreeMap<String, EngineModel>,
-    /// Lives of endpoints by service.
-    lives: HashMap<String, HashMap<String, Life>>,
-    /// When all hosts lost their power.
-    dark_ms: Vec<f64>,
+    /// Listed intervals by service and endpoint.
+    listed: HashMap<String, HashMap<String, ListedInterval>>,
+    /// Starts of the outages of all hosts, in milliseconds after the first line.
+    outages_ms: Vec<f64>,
 }
 
-impl Engines {
-    pub(super) fn of(lines: &[Line], start_ms: f64) -> Self {
-        let mut engines = Self::default();
-        let mut sorted: Vec<&Line> = lines.iter().collect();
+impl EngineHistory {
+    pub(super) fn from_lines(lines: &[LogLine], start_ms: f64) -> Self {
+        let mut history = Self::default();
+        let mut sorted: Vec<&LogLine> = lines.iter().collect();
         sorted.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         for line in &sorted {
-            engines.note(line, line.at_ms - start_ms);
+            history.apply(line, line.at_ms - start_ms);
         }
-        engines.dark_ms = dark(&sorted, start_ms);
-        engines
+        history.outages_ms = outage_starts_ms(&sorted, start_ms);
+        history
     }
 
-    fn note(&mut self, line: &Line, at_ms: f64) {
+    fn apply(&mut self, line: &LogLine, at_ms: f64) {
         match line.text.as_str() {
-            "engines declared" => self.declare(line),
+            "engines declared" => self.add_model(line),
             "endpoint listed" => {
-                let of_service = self.lives.entry(line.field("service")).or_default();
-                let life = Life {
+                let of_service = self.listed.entry(line.field("service")).or_default();
+                let interval = ListedInterval {
                     from_ms: at_ms,
                     until_ms: f64::INFINITY,
                 };
-                of_service.entry(line.field("endpoint")).or_insert(life);
+                of_service.entry(line.field("endpoint")).or_insert(interval);
             }
             "endpoint dropped" => {
                 let id = line.field("endpoint");
-                let lives = self
-                    .lives
+                let listed = self
+                    .listed
                     .values_mut()
-                    .filter_map(|lives| lives.get_mut(&id));
-                // The last host to drop it counts: until then it may have served.
-                lives.for_each(|life| life.until_ms = at_ms);
+                    .filter_map(|listed| listed.get_mut(&id));
+                // The last host to drop the endpoint counts, since it may have served until then.
+                listed.for_each(|interval| interval.until_ms = at_ms);
             }
             _ => {}
         }
     }
 
-    fn declare(&mut self, line: &Line) {
-        let figures = Value::Object(line.fields.clone());
-        match serde_json::from_value(figures) {
+    fn add_model(&mut self, line: &LogLine) {
+        let fields = Value::Object(line.fields.clone());
+        match serde_json::from_value(fields) {
             Ok(model) => {
                 self.models.insert(line.field("service"), model);
             }
@@ -75,35 +75,38 @@
         }
     }
 
-    /// The engines' figures, if any service has engines. Of several services, the one with most endpoints.
+    /// The service with engines and their cost model. Of several services, the one with the most endpoints.
     pub fn model(&self) -> Option<(&String, &EngineModel)> {
-        let count = |service: &String| self.lives.get(service).map_or(0, HashMap::len);
-        self.models.iter().max_by_key(|(service, _)| count(service))
+        let endpoint_count = |service: &String| self.listed.get(service).map_or(0, HashMap::len);
+        self.models
+            .iter()
+            .max_by_key(|(service, _)| endpoint_count(service))
     }
 
-    /// How many endpoints of a service were listed at a time, in milliseconds after the first line.
-    pub fn count(&self, service: &str, at_ms: f64) -> usize {
-        let lives = self
-            .lives
+    /// Number of endpoints of a service that were listed at `at_ms` milliseconds after the first line.
+    pub fn listed_count(&self, service: &str, at_ms: f64) -> usize {
+        let listed = self
+            .listed
             .get(service)
             .into_iter()
             .flat_map(HashMap::values);
-        lives
-            .filter(|life| life.from_ms <= at_ms && at_ms < life.until_ms)
+        listed
+            .filter(|interval| interval.from_ms <= at_ms && at_ms < interval.until_ms)
             .count()
     }
 
-    /// The first time after `at_ms` at which all hosts lost their power, in milliseconds.
-    pub fn next_dark_ms(&self, at_ms: f64) -> Option<f64> {
-        let mut dark_ms = self.dark_ms.iter().copied();
-        dark_ms.find(|from_ms| *from_ms >= at_ms)
+    /// Start of the first outage of all hosts at or after `at_ms`, in milliseconds after the first line.
+    pub fn next_outage_ms(&self, at_ms: f64) -> Option<f64> {
+        let mut outages_ms = self.outages_ms.iter().copied();
+        outages_ms.find(|from_ms| *from_ms >= at_ms)
     }
 }
 
-/// Begins of spans in which no host said anything, at whose end hosts start again.
-fn dark(sorted: &[&Line], start_ms: f64) -> Vec<f64> {
-    let pairs = sorted.windows(2);
-    let spans = pairs
-        .filter(|pair| pair[1].text == "started" && pair[1].at_ms - pair[0].at_ms > DARK_MIN_MS);
-    spans.map(|pair| pair[0].at_ms - start_ms).collect()
+/// Starts of the gaps in which no host logged anything and which end with the start of a host.
+fn outage_starts_ms(sorted: &[&LogLine], start_ms: f64) -> Vec<f64> {
+    let gaps = sorted.windows(2);
+    let outages = gaps.filter(|gap| {
+        gap[1].text == "started" && gap[1].at_ms - gap[0].at_ms > OUTAGE_MIN_SILENCE_MS
+    });
+    outages.map(|gap| gap[0].at_ms - start_ms).collect()
 }
--- a/src/account/mod.rs
+++ b/src/account/mod.rs
@@ -1,90 +1,93 @@
-//! What a day of a deployment came to, from the logs of its gateways alone: what was lost, of which requests, when and
-//! why, whom endpoints refused to help, and what was spent on the store and on messages.
+//! Loss accounting from the logs of a deployment's gateways: how much was lost, by which requests, when and why, which
+//! endpoints refused to help others, and how many store calls and message bytes were used.
 //!
-//! Requests are counted as gateways see them: a client that comes back is another request.
+//! Requests are counted as gateways see them: a retry by a client is another request.
 
+pub mod breakdown;
+pub mod capacity_bound;
+pub mod csv_export;
+mod display;
 pub mod engines;
-pub mod fluid;
 pub mod outcome;
 pub mod plot;
 pub mod refusals;
-pub mod sheet;
-pub mod spent;
-pub mod split;
-mod table;
+pub mod usage;
 
 use std::collections::HashMap;
 
-use crate::explain::Line;
-use crate::explain::Story;
+use crate::explain::LogLine;
+use crate::explain::RequestTrace;
 
-use engines::Engines;
+use breakdown::LossBreakdown;
+use engines::EngineHistory;
 use outcome::Outcome;
-use refusals::Refusals;
-use spent::Spent;
-use split::Split;
+use refusals::HelpRefusals;
+use usage::ResourceUsage;
 
-/// The account of a day.
+/// Loss and resource usage of the requests in a set of logs.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Account {
-    /// What became of each request that was a gateway's to serve.
+    /// Outcome of each eligible request, in order of arrival.
     pub outcomes: Vec<Outcome>,
-    /// Requests that weren't: refused for their key or route, or left by their clients while all went well.
-    pub not_owed: usize,
-    /// Dispatches that were refused for the sake of another endpoint.
-    pub refusals: Refusals,
-    /// What of the loss can't be served, can't be known, and is ours.
-    pub split: Split,
-    /// Calls to the store and bytes.
-    pub spent: Spent,
-    /// Hosts that wrote the logs.
+    /// Requests left out of `outcomes`: refused for their key, route or body, or cancelled by their client.
+    pub ineligible: usize,
+    /// Dispatches that were refused since another endpoint didn't help.
+    pub refusals: HelpRefusals,
+    /// Loss that was unservable, unforeseeable or avoidable.
+    pub breakdown: LossBreakdown,
+    /// Store calls and message bytes.
+    pub usage: ResourceUsage,
+    /// Number of hosts that wrote the logs.
     pub hosts: usize,
 }
 
 impl Account {
-    /// Draws it up from the lines of all gateways, in any order.
+    /// Computes the account from the lines of all gateways, in any order.
     ///
     /// ```
     /// use marigoldstage::account::Account;
-    /// use marigoldstage::explain::Line;
+    /// use marigoldstage::explain::LogLine;
     ///
     /// let text = r#"{"timestamp":"2026-05-30 03:20:24.5 +00:00","text":"request ended","kv":{"request_id":"a","kind":"idempotent","aim_ms":100,"outcome":"answered","total_ms":150}}"#;
-    /// let account = Account::of(vec![Line::of_log(text, "front-1").unwrap()]);
+    /// let account = Account::from_lines(vec![LogLine::parse(text, "front-1").unwrap()]);
     /// assert_eq!(account.outcomes.len(), 1);
     /// assert!(account.outcomes[0].lost_units > 0.0);
     /// ```
-    pub fn of(lines: Vec<Line>) -> Self {
+    pub fn from_lines(lines: Vec<LogLine>) -> Self {
         let start_ms = lines.iter().map(|line| line.at_ms);
         let start_ms = start_ms.fold(f64::INFINITY, f64::min);
-        let hosts = Hosts::of(&lines);
+        let hosts = Hosts::from_lines(&lines);
         let kinds = outcome::kinds_by_route(&lines);
-        let refusals = Refusals::of(&lines, start_ms);
-        let spent = Spent::of(&lines);
-        let engines = Engines::of(&lines, start_ms);
-        let of_requests = lines
+        let refusals = HelpRefusals::from_lines(&lines, start_ms);
+        let usage = ResourceUsage::from_lines(&lines);
+        let engines = EngineHistory::from_lines(&lines, start_ms);
+        let request_lines = lines
             .into_iter()
             .filter(|line| !line.request_id().is_empty());
-        let stories = Story::all_of(of_requests.collect());
-        let ended: Vec<Outcome> = stories
+        let traces = RequestTrace::group_by_request(request_lines.collect());
+        let outcomes_of_all: Vec<Outcome> = traces
             .iter()
-            .filter_map(|story| Outcome::of(story, &kinds, &hosts.zones, start_ms))
+            .filter_map(|trace| Outcome::from_trace(trace, &kinds, &hosts.zones, start_ms))
             .collect();
-        let all = ended.len();
-        let mut outcomes: Vec<Outcome> = ended.into_iter().filter(|one| one.is_owed).collect();
-        outcome::weigh(&mut outcomes);
-        outcomes.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
+        let total = outcomes_of_all.len();
+        let mut outcomes: Vec<Outcome> = outcomes_of_all
+            .into_iter()
+            .filter(|outcome| outcome.is_eligible)
+            .collect();
+        outcome::assign_worth(&mut outcomes);
+        outcomes.sort_by(|a, b| a.arrived_s.total_cmp(&b.arrived_s));
         Self {
-            not_owed: all - outcomes.len(),
-            split: Split::of(&outcomes, &engines),
+            ineligible: total - outcomes.len(),
+            breakdown: LossBreakdown::new(&outcomes, &engines),
             outcomes,
             refusals,
-            spent,
+            usage,
             hosts: hosts.count,
         }
     }
 }
 
-/// The hosts of some logs.
+/// The hosts that wrote a set of logs.
 struct Hosts {
     count: usize,
     /// Availability zones by host.
@@ -92,7 +95,7 @@
 }
 
 impl Hosts {
-    fn of(lines: &[Line]) -> Self {
+    fn from_lines(lines: &[LogLine]) -> Self {
         let mut zones = HashMap::new();
         for line in lines {
             let zone = zones.entry(line.source.clone()).or_insert_with(String::new);
--- a/src/account/outcome.rs
+++ b/src/account/outcome.rs
@@ -1,29 +1,31 @@
-//! What became of one request, and how much of its worth was lost.
+//! How one request ended, and how much of its worth was lost.
 
 use std::collections::HashMap;
 
 use mgs_placing::need;
 
 use crate::explain::summary::Cause;
-use crate::explain::Line;
-use crate::explain::Story;
+use crate::explain::LogLine;
+use crate::explain::RequestTrace;
 
-/// What a prompt is worth whatever its size, in units; the rest goes by its size beside the mean of its kind.
-const UNITS_LEAST: f64 = 0.3;
+/// Worth of a request regardless of its size, in units; the rest is proportional to its size relative to the mean of
+/// its kind.
+const MIN_UNITS: f64 = 0.3;
 
-/// Lengths by which prompts are told apart, in tokens, with their labels.
-const LENGTHS: [(u64, &str); 4] = [
+/// Classes of prompt length: exclusive upper bound in tokens, and label.
+const LENGTH_CLASSES: [(u64, &str); 4] = [
     (1, "no prompt"),
     (16_000, "under 16k"),
     (100_000, "16k to 100k"),
     (u64::MAX, "over 100k"),
 ];
 
-/// How a request ended of which the logs tell no end.
-const CUT: &str = "open when its host ended";
+/// Cause of a request whose end no log line reports.
+const UNFINISHED: &str = "open when its host ended";
 
-/// Ends of requests that were never to be served: the client's key or route was wrong, or what it sent was.
-const NOT_OWED: [&str; 5] = [
+/// Refusal details that are the client's fault: a wrong key or route, or a request that is malformed, too long or too
+/// slow. Such requests aren't eligible.
+const INELIGIBLE_DETAILS: [&str; 5] = [
     "no_route",
     "unknown_key",
     "malformed",
@@ -31,151 +33,160 @@
     "body_too_slow",
 ];
 
-/// One request.
+/// Outcome of one request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
-    /// What was asked for: how it may be repeated, its aim and its limit on pauses.
+    /// Kind label: how the request may be repeated, its aim and its limit on pauses.
     pub kind: String,
-    /// Label of its prompt's length.
-    pub length: &'static str,
-    /// Availability zone of its gateway; empty if its start isn't in the logs.
+    /// Label of its class of prompt length.
+    pub length_label: &'static str,
+    /// Availability zone of its gateway; empty if the logs don't contain the gateway's start.
     pub zone: String,
-    /// When it came, in seconds after the first line.
-    pub at_s: f64,
-    /// Size in read tokens; 0 without a prompt.
+    /// Arrival time, in seconds after the first line.
+    pub arrived_s: f64,
+    /// Size of prompt and answer, in prompt tokens of equal cost; 0 without a prompt.
     pub size_tokens: f64,
-    /// Tokens of its prompt; 0 without one.
+    /// Prompt length, in tokens; 0 without a prompt.
     pub prompt_tokens: f64,
-    /// Time to its first event or its answer that is on time, in milliseconds.
+    /// Longest time to the first event or the answer that counts as on time, in milliseconds.
     pub aim_ms: f64,
-    /// Time that it had, in milliseconds; 0 if that isn't known.
+    /// Timeout, in milliseconds; 0 if it isn't known.
     pub timeout_ms: f64,
-    /// Whether an endpoint failed it: ended, broke off, or answered with a failure of its own.
-    pub met_fault: bool,
-    /// Why it ended as it did.
+    /// Whether an endpoint failed while it had the request: it ended, broke off the stream or returned an error.
+    pub had_endpoint_fault: bool,
+    /// Why the request ended as it did.
     pub cause: Cause,
-    /// What it was worth: 1 for the mean of its kind.
+    /// Worth, in units; 1 is the mean of its kind.
     pub units: f64,
-    /// How much of that was lost.
+    /// Part of `units` that was lost.
     pub lost_units: f64,
-    /// Whether it was to be served.
-    pub is_owed: bool,
+    /// Whether the request counts: it wasn't refused by its client's fault nor cancelled by the client.
+    pub is_eligible: bool,
 }
 
-/// How a request ended, in the words of a table's columns.
+/// Class of a request's end, as in the columns of the printed tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum End {
-    /// Within its aim and its limit on pauses.
+pub enum EndClass {
+    /// Answered within its aim and its limit on pauses.
     OnTime,
-    /// Whole, but late.
+    /// Answered completely, but late or with a pause over the limit.
     Late,
-    /// Refused: it hasn't run.
+    /// Refused without having run.
     Refused,
     /// Anything else.
     Failed,
 }
 
 impl Outcome {
-    /// What some lines of one request tell of it; `None` if there are none.
-    pub fn of(
-        story: &Story,
+    /// Outcome of the request of `trace`; `None` if it has no lines. `kinds` are kind labels by route, `zones`
+    /// availability zones by host. Worth and loss are set by [`assign_worth`].
+    pub fn from_trace(
+        trace: &RequestTrace,
         kinds: &HashMap<String, String>,
         zones: &HashMap<String, String>,
         start_ms: f64,
     ) -> Option<Self> {
-        let cut = || Cause::Ended(CUT.to_string());
-        let mut cause = Cause::of(story).unwrap_or_else(cut);
-        let ended = story.last("request ended");
-        let last = story.lines.last()?;
-        let told = |name: &str| {
-            story
+        let unfinished = || Cause::Other(UNFINISHED.to_string());
+        let mut cause = Cause::of(trace).unwrap_or_else(unfinished);
+        let end_line = trace.last_with_text("request ended");
+        let last_line = trace.lines.last()?;
+        let largest = |name: &str| {
+            trace
                 .lines
                 .iter()
                 .map(|line| line.number(name))
                 .fold(0.0, f64::max)
         };
-        let prompt_tokens = told("prompt_tokens");
-        let expected_tokens = need::size(prompt_tokens, told("expected_tokens"));
-        if cause == Cause::Ended("answered".to_string()) {
-            cause = plain_cause(ended?);
+        let prompt_tokens = largest("prompt_tokens");
+        let expected_tokens = need::size(prompt_tokens, largest("expected_tokens"));
+        if cause == Cause::Other("answered".to_string()) {
+            cause = cause_of_answered(end_line?);
         }
-        let mut kinds_told = story.lines.iter().map(kind_of);
-        let kind = kinds_told.find(|kind| !kind.is_empty());
-        let kind = kind.or_else(|| kinds.get(&story.route()).cloned());
-        let arrived_ms = arrival_ms(story, ended.unwrap_or(last));
+        let mut reported_kinds = trace.lines.iter().map(kind_label);
+        let kind = reported_kinds.find(|kind| !kind.is_empty());
+        let kind = kind.or_else(|| kinds.get(&trace.route()).cloned());
+        let arrived_ms = arrival_ms(trace, end_line.unwrap_or(last_line));
         Some(Self {
             kind: kind.unwrap_or_else(|| "unknown".to_string()),
-            length: label(prompt_tokens as u64),
-            zone: zones.get(&last.source).cloned().unwrap_or_default(),
-            at_s: (arrived_ms - start_ms) / 1e3,
-            size_tokens: told("size_tokens").max(expected_tokens),
+            length_label: length_label(prompt_tokens as u64),
+            zone: zones.get(&last_line.source).cloned().unwrap_or_default(),
+            arrived_s: (arrived_ms - start_ms) / 1e3,
+            size_tokens: largest("size_tokens").max(expected_tokens),
             prompt_tokens,
-            aim_ms: told("aim_ms"),
-            timeout_ms: told("timeout_ms"),
-            met_fault: story.lines.iter().any(is_fault),
-            is_owed: is_owed(&cause, ended),
+            aim_ms: largest("aim_ms"),
+            timeout_ms: largest("timeout_ms"),
+            had_endpoint_fault: trace.lines.iter().any(is_endpoint_fault),
+            is_eligible: is_eligible(&cause, end_line),
             cause,
             units: 1.0,
             lost_units: 0.0,
         })
     }
 
-    /// Tokens that its answer was expected to have.
+    /// Expected length of the answer, in tokens.
     pub fn answer_tokens(&self) -> f64 {
         (self.size_tokens - self.prompt_tokens).max(0.0) / need::WRITTEN_FACTOR
     }
 
-    /// How it ended, in a word.
-    pub fn end(&self) -> End {
+    /// Class of the end, which determines the lost share.
+    pub fn end_class(&self) -> EndClass {
         match &self.cause {
-            Cause::OnTime => End::OnTime,
-            Cause::Ended(how) if how.starts_with("refused") && !may_have_run(how) => End::Refused,
-            Cause::Ended(_) | Cause::LeftInSilence => End::Failed,
-            _ => End::Late,
+            Cause::OnTime => EndClass::OnTime,
+            Cause::Other(how) if how.starts_with("refused") && !may_have_run(how) => {
+                EndClass::Refused
+            }
+            Cause::Other(_) | Cause::ClientLeftDuringSilence => EndClass::Failed,
+            _ => EndClass::Late,
         }
     }
 }
 
-/// Whether an endpoint failed the request of a line.
-fn is_fault(line: &Line) -> bool {
+/// Whether a line reports a failure of the request's endpoint.
+fn is_endpoint_fault(line: &LogLine) -> bool {
     let ends = ["unknown", "endpoint_error"];
     let has_failed = line.text == "dispatch ended" && ends.contains(&line.field("end").as_str());
     has_failed || line.text == "stream broke off" || line.text == "run lost"
 }
 
-/// Whether a request that was answered by a failure may have run.
+/// Whether a request that ended with this error may have run.
 fn may_have_run(how: &str) -> bool {
     ["unknown", "timeout_running"]
         .iter()
         .any(|fault| how.ends_with(fault))
 }
 
-/// When a request came, on the clock of its host.
-fn arrival_ms(story: &Story, ended: &Line) -> f64 {
-    let first = story.lines.first().map_or(ended.at_ms, |line| line.at_ms);
-    first.min(ended.at_ms - ended.number("total_ms"))
+/// Arrival time of a request by its host's clock, in milliseconds since midnight.
+fn arrival_ms(trace: &RequestTrace, end_line: &LogLine) -> f64 {
+    let first = trace
+        .lines
+        .first()
+        .map_or(end_line.at_ms, |line| line.at_ms);
+    first.min(end_line.at_ms - end_line.number("total_ms"))
 }
 
-/// Of a call that was answered whole, whether that was in time.
-fn plain_cause(ended: &Line) -> Cause {
-    if ended.number("status") >= 500.0 {
-        return Cause::Ended("failed at its endpoint".to_string());
+/// Cause of an answered request that has no stream.
+fn cause_of_answered(end_line: &LogLine) -> Cause {
+    if end_line.number("status") >= 500.0 {
+        return Cause::Other("failed at its endpoint".to_string());
     }
-    let aim_ms = ended.number("aim_ms");
-    match aim_ms > 0.0 && ended.number("total_ms") > aim_ms {
-        true => Cause::AnsweredLate,
+    let aim_ms = end_line.number("aim_ms");
+    match aim_ms > 0.0 && end_line.number("total_ms") > aim_ms {
+        true => Cause::LateAnswer,
         false => Cause::OnTime,
     }
 }
 
-fn is_owed(cause: &Cause, ended: Option<&Line>) -> bool {
-    let detail = ended.map(|line| line.field("detail")).unwrap_or_default();
-    let has_left = *cause == Cause::Ended("client_left".to_string());
-    !has_left && !NOT_OWED.contains(&detail.as_str())
+fn is_eligible(cause: &Cause, end_line: Option<&LogLine>) -> bool {
+    let detail = end_line
+        .map(|line| line.field("detail"))
+        .unwrap_or_default();
+    let client_left = *cause == Cause::Other("client_left".to_string());
+    !client_left && !INELIGIBLE_DETAILS.contains(&detail.as_str())
 }
 
-/// A request's kind by the line of its end: how it may be repeated, its aim and its limit on pauses.
-fn kind_of(line: &Line) -> String {
+/// Label of a request's kind from one of its lines: how it may be repeated, its aim and its limit on pauses. Empty if
+/// the line names no kind.
+fn kind_label(line: &LogLine) -> String {
     let name = line.field("kind");
     let pause_ms = line.number("pause_limit_ms");
     match (name.is_empty(), pause_ms > 0.0) {
@@ -185,17 +196,18 @@
     }
 }
 
-/// Kinds by route, for requests whose own lines don't tell theirs.
-pub fn kinds_by_route(lines: &[Line]) -> HashMap<String, String> {
-    let told = lines
+/// Kind labels by route, for requests whose own lines name no kind.
+pub fn kinds_by_route(lines: &[LogLine]) -> HashMap<String, String> {
+    let labels = lines
         .iter()
-        .map(|line| (line.field("route"), kind_of(line)));
-    told.filter(|(route, kind)| !route.is_empty() && !kind.is_empty())
+        .map(|line| (line.field("route"), kind_label(line)));
+    labels
+        .filter(|(route, kind)| !route.is_empty() && !kind.is_empty())
         .collect()
 }
 
-/// Sets what each request was worth and what of that was lost: prompts by their size beside the mean of their kind.
-pub fn weigh(outcomes: &mut [Outcome]) {
+/// Sets the worth and the loss of each request. The worth depends on the size relative to the mean of the kind.
+pub fn assign_worth(outcomes: &mut [Outcome]) {
     let mut sizes: HashMap<String, (f64, f64)> = HashMap::new();
     for outcome in outcomes.iter() {
         let (sum, count) = sizes.entry(outcome.kind.clone()).or_default();
@@ -206,18 +218,21 @@
         let (sum, count) = sizes[&outcome.kind];
         if sum > 0.0 {
             let relative = outcome.size_tokens * count / sum;
-            outcome.units = UNITS_LEAST + (1.0 - UNITS_LEAST) * relative;
+            outcome.units = MIN_UNITS + (1.0 - MIN_UNITS) * relative;
         }
-        let lost_share = match outcome.end() {
-            End::OnTime => 0.0,
-            End::Late => need::LATE_SHARE,
-            End::Refused | End::Failed => 1.0,
+        let lost_share = match outcome.end_class() {
+            EndClass::OnTime => 0.0,
+            EndClass::Late => need::LATE_SHARE,
+            EndClass::Refused | EndClass::Failed => 1.0,
         };
         outcome.lost_units = outcome.units * lost_share;
     }
 }
 
-fn label(prompt_tokens: u64) -> &'static str {
-    let fits = |(below, _): &&(u64, &'static str)| prompt_tokens < *below;
-    LENGTHS.iter().find(fits).map_or("", |(_, label)| label)
+fn length_label(prompt_tokens: u64) -> &'static str {
+    let is_within = |(below, _): &&(u64, &'static str)| prompt_tokens < *below;
+    LENGTH_CLASSES
+        .iter()
+        .find(is_within)
+        .map_or("", |(_, label)| label)
 }
--- a/src/account/plot.rs
+++ b/src/account/plot.rs
@@ -1,4 +1,4 @@
-//! The account as a drawing: the share of its worth that each kind lost, second by second.
+//! Plots the share of worth that each kind of request lost, second by second.
 
 use std::collections::BTreeMap;
 
@@ -15,25 +15,25 @@
 
 use super::Account;
 
-/// Size of the drawing, in pixels.
+/// Size of the image, in pixels.
 const SIZE: (u32, u32) = (1_000, 420);
 
-/// Shares lost, by kind and second.
-type Shares = BTreeMap<String, BTreeMap<u64, (f64, f64)>>;
+/// Lost units and total units, by kind and second.
+type LossByKind = BTreeMap<String, BTreeMap<u64, (f64, f64)>>;
 
-fn shares(account: &Account) -> Shares {
-    let mut shares = Shares::new();
+fn loss_by_kind(account: &Account) -> LossByKind {
+    let mut loss_by_kind = LossByKind::new();
     for outcome in &account.outcomes {
-        let of_kind = shares.entry(outcome.kind.clone()).or_default();
-        let second = outcome.at_s.max(0.0) as u64;
+        let of_kind = loss_by_kind.entry(outcome.kind.clone()).or_default();
+        let second = outcome.arrived_s.max(0.0) as u64;
         let (lost, units) = of_kind.entry(second).or_default();
         *lost += outcome.lost_units;
         *units += outcome.units;
     }
-    shares
+    loss_by_kind
 }
 
-/// Draws it as SVG.
+/// Renders the plot as SVG. An error is the text of the drawing library's error.
 pub fn svg(account: &Account) -> Result<String, String> {
     let mut drawing = String::new();
     draw(account, &mut drawing).map_err(|error| error.to_string())?;
@@ -41,8 +41,8 @@
 }
 
 fn draw(account: &Account, drawing: &mut String) -> Result<(), Box<dyn std::error::Error>> {
-    let shares = shares(account);
-    let seconds = shares.values().flat_map(BTreeMap::keys);
+    let loss_by_kind = loss_by_kind(account);
+    let seconds = loss_by_kind.values().flat_map(BTreeMap::keys);
     let first_s = seconds.clone().min().copied().unwrap_or(0);
     let last_s = seconds.max().copied().unwrap_or(0) + 1;
     let area = SVGBackend::with_string(drawing, SIZE).into_drawing_area();
@@ -57,7 +57,7 @@
         .x_desc("seconds after the first line")
         .y_desc("share of worth lost")
         .draw()?;
-    for (number, (kind, by_second)) in shares.iter().enumerate() {
+    for (number, (kind, by_second)) in loss_by_kind.iter().enumerate() {
         let color = Palette99::pick(number).to_rgba();
         let points = by_second
             .iter()
--- a/src/command/account.rs
+++ b/src/command/account.rs
@@ -7,15 +7,15 @@
 use clap::ArgMatches;
 use clap::Command;
 
+use crate::account::csv_export;
 use crate::account::plot;
-use crate::account::sheet;
 use crate::account::Account;
 use crate::command::explain::failed;
 use crate::command::explain::logs_argument;
 use crate::command::explain::read_all;
 use crate::command::explain::LOGS;
 use crate::error::Error;
-use crate::explain::Line;
+use crate::explain::LogLine;
 
 const CSV: &str = "csv";
 const PLOT: &str = "plot";
@@ -53,10 +53,11 @@
 /// Reads the logs and prints the account.
 pub fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Error> {
     let files: Vec<&String> = matches.get_many(LOGS).into_iter().flatten().collect();
-    let lines = read_all(&files, &|text, file| Line::of_log(text, file))?;
-    let account = Account::of(lines);
+    let lines = read_all(&files, &|text, file| LogLine::parse(text, file))?;
+    let account = Account::from_lines(lines);
     if let Some(file) = matches.get_one::<String>(CSV) {
-        let text = sheet::text(&account).map_err(|error| Error::Failed(error.to_string()))?;
+        let text =
+            csv_export::to_csv(&account).map_err(|error| Error::Failed(error.to_string()))?;
         write_file(file, &text)?;
     }
     if let Some(file) = matches.get_one::<String>(PLOT) {
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -12,11 +12,11 @@
 use clap::Command;
 
 use crate::error::Error;
-use crate::explain::cause::cause;
-use crate::explain::sizes::Sizes;
+use crate::explain::explanation::describe;
+use crate::explain::sizes::SizeReport;
 use crate::explain::summary::Summary;
-use crate::explain::Line;
-use crate::explain::Story;
+use crate::explain::LogLine;
+use crate::explain::RequestTrace;
 
 const REQUEST: &str = "request-id";
 pub(super) const LOGS: &str = "logs";
@@ -78,18 +78,22 @@
     if matches.get_flag(ALL) || matches.get_flag(SIZES) {
         // Without an identifier, what stands in its place is the first file.
         files.splice(0..0, first);
-        let lines = read_all(&files, &|text, file| Line::of_any(text, file))?;
+        let lines = read_all(&files, &|text, file| {
+            LogLine::parse_request_line(text, file)
+        })?;
         let told = match matches.get_flag(ALL) {
-            true => write!(out, "{}", Summary::of(lines)),
-            false => write!(out, "{}", Sizes::of(lines)),
+            true => write!(out, "{}", Summary::from_lines(lines)),
+            false => write!(out, "{}", SizeReport::from_lines(lines)),
         };
         return told.map_err(|error| failed("standard output", &error));
     }
     let request_id = first.expect("BUG: clap requires it");
-    let lines = read_all(&files, &|text, file| Line::read(text, request_id, file))?;
-    let story = Story::of(lines);
-    let is_known = !story.lines.is_empty();
-    let told = writeln!(out, "{story}{}", cause(&story));
+    let lines = read_all(&files, &|text, file| {
+        LogLine::parse_for_request(text, request_id, file)
+    })?;
+    let trace = RequestTrace::from_lines(lines);
+    let is_known = !trace.lines.is_empty();
+    let told = writeln!(out, "{trace}{}", describe(&trace));
     told.map_err(|error| failed("standard output", &error))?;
     match is_known {
         true => Ok(()),
@@ -98,9 +102,9 @@
 }
 
 /// Understands a line of a file, or passes it over.
-pub(super) type Reader<'a> = &'a dyn Fn(&str, &str) -> Option<Line>;
+pub(super) type Reader<'a> = &'a dyn Fn(&str, &str) -> Option<LogLine>;
 
-pub(super) fn read_all(files: &[&String], reader: Reader<'_>) -> Result<Vec<Line>, Error> {
+pub(super) fn read_all(files: &[&String], reader: Reader<'_>) -> Result<Vec<LogLine>, Error> {
     let mut lines = Vec::new();
     for file in files {
         let opened = File::open(file).map_err(|error| failed(file, &error))?;
@@ -116,7 +120,7 @@
     log: impl BufRead,
     reader: Reader<'_>,
     file: &str,
-    lines: &mut Vec<Line>,
+    lines: &mut Vec<LogLine>,
 ) -> Result<(), Error> {
     // Bytes that are no text, as of a line that was cut, spoil their own line only.
     for line in log.split(b'\n') {
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -1,6 +1,6 @@
-//! The story of one request, put together from the logs of several processes.
+//! Reconstructs the course of a request from the logs of several processes.
 
-pub mod cause;
+pub mod explanation;
 pub mod sizes;
 pub mod summary;
 
@@ -15,12 +15,12 @@
 /// Name of the field that holds a request's identifier.
 const REQUEST_ID: &str = "request_id";
 
-/// Fields that are told with each line, in this order; others follow by name.
-const FIRST_FIELDS: [&str; 6] = ["outcome", "detail", "status", "end", "why", "reason"];
+/// Fields that are printed first, in this order; others follow by name.
+const LEADING_FIELDS: [&str; 6] = ["outcome", "detail", "status", "end", "why", "reason"];
 
-/// A line of a log as it is written.
+/// The JSON of a log line.
 #[derive(Debug, Deserialize)]
-struct Written {
+struct JsonLine {
     timestamp: String,
     #[serde(default)]
     text: String,
@@ -28,63 +28,64 @@
     kv: Map<String, Value>,
 }
 
-/// One decision on a request.
+/// A parsed log line.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Line {
+pub struct LogLine {
     /// Milliseconds since midnight, by the clock of the host that wrote it.
     pub at_ms: f64,
-    /// Where it was read: the host or the file.
+    /// Host that wrote it, or the file that it was read from.
     pub source: String,
-    /// Which decision.
+    /// Message text, which identifies the kind of event.
     pub text: String,
-    /// What decided it, how old that was, and the outcome.
+    /// Structured fields of the line.
     pub fields: Map<String, Value>,
 }
 
-impl Line {
-    /// Understands a line if it tells of the request. What stands before the JSON, as a collector of logs puts
-    /// the host there, is taken for the source, else `file`.
+impl LogLine {
+    /// Parses a line; `None` if it isn't about the request. The last word before the JSON, where log collectors put
+    /// the host, becomes the source; without one, `file` does.
     ///
     /// ```
-    /// use marigoldstage::explain::Line;
+    /// use marigoldstage::explain::LogLine;
     ///
     /// let text = r#"front-1 {"timestamp":"2026-05-30 03:20:24.5 +00:00","text":"placed","kv":{"request_id":"a"}}"#;
-    /// let line = Line::read(text, "a", "gateway.log").unwrap();
+    /// let line = LogLine::parse_for_request(text, "a", "gateway.log").unwrap();
     /// assert_eq!(line.source, "front-1");
     /// assert_eq!(line.text, "placed");
-    /// assert!(Line::read(text, "b", "gateway.log").is_none());
+    /// assert!(LogLine::parse_for_request(text, "b", "gateway.log").is_none());
     /// ```
-    pub fn read(text: &str, request_id: &str, file: &str) -> Option<Self> {
+    pub fn parse_for_request(text: &str, request_id: &str, file: &str) -> Option<Self> {
         if !text.contains(request_id) {
             return None;
         }
-        Self::of_any(text, file).filter(|line| line.request_id() == request_id)
+        Self::parse_request_line(text, file).filter(|line| line.request_id() == request_id)
     }
 
-    /// The same for a line of whichever request.
-    pub fn of_any(text: &str, file: &str) -> Option<Self> {
-        Self::of_log(text, file).filter(|line| line.fields.contains_key(REQUEST_ID))
+    /// Parses a line as [`LogLine::parse_for_request`] does; `None` if it names no request.
+    pub fn parse_request_line(text: &str, file: &str) -> Option<Self> {
+        Self::parse(text, file).filter(|line| line.fields.contains_key(REQUEST_ID))
     }
 
-    /// The same for a line that may tell of no request.
-    pub fn of_log(text: &str, file: &str) -> Option<Self> {
-        let start = text.find('{')?;
-        let written: Written = serde_json::from_str(&text[start..]).ok()?;
-        let before = text[..start].split_whitespace().last();
+    /// Parses a line as [`LogLine::parse_for_request`] does, whether it names a request or not; `None` if it is no
+    /// log line.
+    pub fn parse(text: &str, file: &str) -> Option<Self> {
+        let json_start = text.find('{')?;
+        let json: JsonLine = serde_json::from_str(&text[json_start..]).ok()?;
+        let prefix = text[..json_start].split_whitespace().last();
         Some(Self {
-            at_ms: of_day_ms(&written.timestamp)?,
-            source: before.unwrap_or(file).to_string(),
-            text: written.text,
-            fields: written.kv,
+            at_ms: parse_time_of_day_ms(&json.timestamp)?,
+            source: prefix.unwrap_or(file).to_string(),
+            text: json.text,
+            fields: json.kv,
         })
     }
 
-    /// The request that it tells of.
+    /// Identifier of the request that the line is about; empty if it names none.
     pub fn request_id(&self) -> String {
         self.field(REQUEST_ID)
     }
 
-    /// A field as text; empty if it isn't there.
+    /// A field as text; empty if it is missing.
     pub fn field(&self, name: &str) -> String {
         match self.fields.get(name) {
             None => String::new(),
@@ -93,14 +94,14 @@
         }
     }
 
-    /// A field as a number; 0 if it isn't there.
+    /// A field as a number; 0 if it is missing or no number.
     pub fn number(&self, name: &str) -> f64 {
         self.fields.get(name).and_then(Value::as_f64).unwrap_or(0.0)
     }
 }
 
-/// Milliseconds since midnight of `2026-05-30 03:20:24.000131 +00:00`.
-fn of_day_ms(timestamp: &str) -> Option<f64> {
+/// Milliseconds since midnight of a timestamp such as `2026-05-30 03:20:24.000131 +00:00`.
+fn parse_time_of_day_ms(timestamp: &str) -> Option<f64> {
     let time = timestamp.split(' ').nth(1)?;
     let mut parts = time.split(':');
     let hours: f64 = parts.next()?.parse().ok()?;
@@ -109,54 +110,54 @@
     Some(((hours * 60.0 + minutes) * 60.0 + seconds) * 1e3)
 }
 
-/// All that is known of a request.
+/// The log lines of one request.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Story {
-    /// Its lines in order of time.
-    pub lines: Vec<Line>,
+pub struct RequestTrace {
+    /// The lines in order of time.
+    pub lines: Vec<LogLine>,
 }
 
-impl Story {
-    /// Puts lines in order.
-    pub fn of(mut lines: Vec<Line>) -> Self {
+impl RequestTrace {
+    /// Sorts the lines of one request by time.
+    pub fn from_lines(mut lines: Vec<LogLine>) -> Self {
         lines.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         Self { lines }
     }
 
-    /// The stories of all requests that some lines tell of, in any order.
-    pub fn all_of(lines: Vec<Line>) -> Vec<Self> {
-        let mut by_request: HashMap<String, Vec<Line>> = HashMap::new();
+    /// Groups lines by request; the traces are in arbitrary order.
+    pub fn group_by_request(lines: Vec<LogLine>) -> Vec<Self> {
+        let mut by_request: HashMap<String, Vec<LogLine>> = HashMap::new();
         for line in lines {
             by_request.entry(line.request_id()).or_default().push(line);
         }
-        by_request.into_values().map(Self::of).collect()
+        by_request.into_values().map(Self::from_lines).collect()
     }
 
-    /// The last line of a kind.
-    pub fn last(&self, text: &str) -> Option<&Line> {
+    /// The last line with this message text.
+    pub fn last_with_text(&self, text: &str) -> Option<&LogLine> {
         self.lines.iter().rev().find(|line| line.text == text)
     }
 
-    /// The route that took the request; `-` if none did.
+    /// The route of the request; `-` if no line names one.
     pub fn route(&self) -> String {
-        let told = self.lines.iter().map(|line| line.field("route"));
-        let known = told.into_iter().find(|route| !route.is_empty());
-        known.unwrap_or_else(|| "-".to_string())
+        let routes = self.lines.iter().map(|line| line.field("route"));
+        let first = routes.into_iter().find(|route| !route.is_empty());
+        first.unwrap_or_else(|| "-".to_string())
     }
 
-    /// All lines of a kind.
-    pub fn all(&self, text: &str) -> Vec<&Line> {
+    /// All lines with this message text.
+    pub fn all_with_text(&self, text: &str) -> Vec<&LogLine> {
         self.lines.iter().filter(|line| line.text == text).collect()
     }
 }
 
-impl Display for Story {
+impl Display for RequestTrace {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         let start_ms = self.lines.first().map_or(0.0, |line| line.at_ms);
         for line in &self.lines {
             let after_ms = line.at_ms - start_ms;
             write!(f, "{after_ms:>9.1} ms  {}  {}:", line.source, line.text)?;
-            for (name, value) in told(&line.fields) {
+            for (name, value) in printed_fields(&line.fields) {
                 write!(f, " {name}={value}")?;
             }
             writeln!(f)?;
@@ -165,12 +166,13 @@
     }
 }
 
-/// The fields to be told, the most telling first, without those that say nothing.
-fn told(fields: &Map<String, Value>) -> Vec<(&str, String)> {
-    let rank = |name: &str| FIRST_FIELDS.iter().position(|first| *first == name);
+/// Fields to print: the [`LEADING_FIELDS`] first, then the others by name. Empty values and the request's identifier
+/// are left out.
+fn printed_fields(fields: &Map<String, Value>) -> Vec<(&str, String)> {
+    let rank = |name: &str| LEADING_FIELDS.iter().position(|first| *first == name);
     let mut names: Vec<&str> = fields.keys().map(String::as_str).collect();
     names.retain(|name| *name != REQUEST_ID);
-    names.sort_by_key(|name| (rank(name).unwrap_or(FIRST_FIELDS.len()), *name));
+    names.sort_by_key(|name| (rank(name).unwrap_or(LEADING_FIELDS.len()), *name));
     let text = |name: &str| match &fields[name] {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/src/explain/sizes.rs
+++ b/src/explain/sizes.rs
@@ -1,132 +1,144 @@
-//! Whether long requests of a route are served as often as the others.
+//! Compares how often large and small requests of a route are answered.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
 use std::fmt::Formatter;
 
 use super::summary::Cause;
-use super::Line;
-use super::Story;
+use super::LogLine;
+use super::RequestTrace;
 
-/// A route's requests in order of their size, cut where the largest three tenths and the largest tenth begin.
-const PARTS: [Part; 3] = [
-    Part {
+/// Bands of a route's requests in ascending order of size.
+const SIZE_BANDS: [SizeBand; 3] = [
+    SizeBand {
         name: "below the largest three tenths",
-        from: 0.0,
-        to: 0.7,
+        from_share: 0.0,
+        to_share: 0.7,
     },
-    Part {
+    SizeBand {
         name: "the fifth below the largest tenth",
-        from: 0.7,
-        to: 0.9,
+        from_share: 0.7,
+        to_share: 0.9,
     },
-    Part {
+    SizeBand {
         name: "the largest tenth",
-        from: 0.9,
-        to: 1.0,
+        from_share: 0.9,
+        to_share: 1.0,
     },
 ];
 
+/// A range of quantiles of the requests of a route by size.
 #[derive(Debug)]
-struct Part {
+struct SizeBand {
     name: &'static str,
-    from: f64,
-    to: f64,
+    from_share: f64,
+    to_share: f64,
 }
 
-impl Part {
-    /// Its share of some requests that are in order of their size.
-    fn of<'a>(&self, sorted: &'a [Ended]) -> &'a [Ended] {
-        let at = |share: f64| (sorted.len() as f64 * share) as usize;
-        &sorted[at(self.from)..at(self.to)]
+impl SizeBand {
+    /// The requests of this band; `sorted` is in ascending order of size.
+    fn slice<'a>(&self, sorted: &'a [EndedRequest]) -> &'a [EndedRequest] {
+        let index_at = |share: f64| (sorted.len() as f64 * share) as usize;
+        &sorted[index_at(self.from_share)..index_at(self.to_share)]
     }
 }
 
-/// One request that ended.
+/// A prompt whose end is in the logs.
 #[derive(Debug, Clone, PartialEq)]
-struct Ended {
+struct EndedRequest {
     size_tokens: u64,
     is_answered: bool,
     cause: Cause,
 }
 
-/// The requests of each route by size.
+/// The prompts of each route, in ascending order of size.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Sizes {
-    routes: BTreeMap<String, Vec<Ended>>,
+pub struct SizeReport {
+    routes: BTreeMap<String, Vec<EndedRequest>>,
 }
 
-impl Sizes {
-    /// Puts the prompts in order that some lines tell of.
+impl SizeReport {
+    /// Collects and sorts the prompts that the lines mention.
     ///
     /// ```
-    /// use marigoldstage::explain::sizes::Sizes;
-    /// use marigoldstage::explain::Line;
+    /// use marigoldstage::explain::sizes::SizeReport;
+    /// use marigoldstage::explain::LogLine;
     ///
     /// let text = r#"{"timestamp":"2026-05-30 03:20:24.5 +00:00","text":"request ended","kv":{"request_id":"a","route":"audit","size_tokens":5000,"prompt_tokens":4000,"outcome":"refused","detail":"full"}}"#;
-    /// let sizes = Sizes::of(vec![Line::of_any(text, "gateway.log").unwrap()]);
-    /// assert!(sizes.to_string().contains("audit: 1 prompts"));
+    /// let report = SizeReport::from_lines(vec![LogLine::parse_request_line(text, "gateway.log").unwrap()]);
+    /// assert!(report.to_string().contains("audit: 1 prompts"));
     /// ```
-    pub fn of(lines: Vec<Line>) -> Self {
-        let mut sizes = Self::default();
-        for story in Story::all_of(lines) {
-            sizes.count(&story);
+    pub fn from_lines(lines: Vec<LogLine>) -> Self {
+        let mut report = Self::default();
+        for trace in RequestTrace::group_by_request(lines) {
+            report.add(&trace);
         }
-        for ended in sizes.routes.values_mut() {
+        for ended in report.routes.values_mut() {
             ended.sort_by(|a, b| (a.size_tokens, &a.cause).cmp(&(b.size_tokens, &b.cause)));
         }
-        sizes
+        report
     }
 
-    fn count(&mut self, story: &Story) {
-        let size = |line: &Line| line.number("size_tokens") as u64;
-        let largest = story.lines.iter().map(size).max().unwrap_or(0);
-        let is_prompt = story.lines.iter().any(|l| l.number("prompt_tokens") > 0.0);
-        let Some(cause) = Cause::of(story).filter(|_| is_prompt) else {
+    fn add(&mut self, trace: &RequestTrace) {
+        let size = |line: &LogLine| line.number("size_tokens") as u64;
+        let size_tokens = trace.lines.iter().map(size).max().unwrap_or(0);
+        let has_prompt = trace.lines.iter().any(|l| l.number("prompt_tokens") > 0.0);
+        let Some(cause) = Cause::of(trace).filter(|_| has_prompt) else {
             return;
         };
-        let outcome = story.last("stream ended").map(|line| line.field("outcome"));
-        let ended = Ended {
-            size_tokens: largest,
+        let outcome = trace
+            .last_with_text("stream ended")
+            .map(|line| line.field("outcome"));
+        let ended = EndedRequest {
+            size_tokens,
             is_answered: outcome.is_some_and(|outcome| outcome == "answered"),
             cause,
         };
-        self.routes.entry(story.route()).or_default().push(ended);
+        self.routes.entry(trace.route()).or_default().push(ended);
     }
 }
 
-/// Share of some requests that were answered.
-fn answered_share(ended: &[Ended]) -> f64 {
+/// Share of the requests that were answered.
+fn answered_share(ended: &[EndedRequest]) -> f64 {
     let answered = ended.iter().filter(|ended| ended.is_answered).count();
     answered as f64 / ended.len().max(1) as f64
 }
 
-impl Display for Sizes {
+impl Display for SizeReport {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         for (route, ended) in &self.routes {
-            let all = answered_share(ended);
-            writeln!(f, "{route}: {} prompts, {all:.2} answered", ended.len())?;
-            for part in &PARTS {
-                write_part(f, part, part.of(ended), all)?;
+            let overall_share = answered_share(ended);
+            writeln!(
+                f,
+                "{route}: {} prompts, {overall_share:.2} answered",
+                ended.len()
+            )?;
+            for band in &SIZE_BANDS {
+                write_band(f, band, band.slice(ended), overall_share)?;
             }
         }
         Ok(())
     }
 }
 
-fn write_part(f: &mut Formatter<'_>, part: &Part, ended: &[Ended], all: f64) -> std::fmt::Result {
-    let (Some(least), Some(most)) = (ended.first(), ended.last()) else {
+fn write_band(
+    f: &mut Formatter<'_>,
+    band: &SizeBand,
+    ended: &[EndedRequest],
+    overall_share: f64,
+) -> std::fmt::Result {
+    let (Some(smallest), Some(largest)) = (ended.first(), ended.last()) else {
         return Ok(());
     };
-    let share = answered_share(ended);
+    let answered = answered_share(ended);
     writeln!(
         f,
-        "{:>8} {}: {} to {} read tokens, {share:.2} answered, {:.2} of all",
+        "{:>8} {}: {} to {} read tokens, {answered:.2} answered, {:.2} of all",
         ended.len(),
-        part.name,
-        least.size_tokens,
-        most.size_tokens,
-        share / all.max(f64::MIN_POSITIVE),
+        band.name,
+        smallest.size_tokens,
+        largest.size_tokens,
+        answered / overall_share.max(f64::MIN_POSITIVE),
     )?;
     let mut causes: BTreeMap<&Cause, u64> = BTreeMap::new();
     for ended in ended.iter().filter(|ended| !ended.is_answered) {
--- a/tests/bound.rs
+++ b/tests/bound.rs
@@ -1,10 +1,10 @@
 //! The bound of a day: what can't be served by whatever plan.
 
-use marigoldstage::account::fluid::served;
-use marigoldstage::account::fluid::Piece;
-use marigoldstage::account::fluid::Supply;
+use marigoldstage::account::capacity_bound::served_shares;
+use marigoldstage::account::capacity_bound::Capacity;
+use marigoldstage::account::capacity_bound::Job;
 use marigoldstage::account::Account;
-use marigoldstage::explain::Line;
+use marigoldstage::explain::LogLine;
 use proptest::collection::vec;
 use proptest::prelude::Strategy;
 use proptest::prop_assert;
@@ -16,24 +16,26 @@
 /// Steps of the days that are drawn.
 const STEPS: usize = 12;
 
-fn piece() -> impl Strategy<Value = Piece> {
-    (0..STEPS, 1..=STEPS, 1u32..2_000, 1u32..50).prop_map(|(first, steps, takes, worth)| Piece {
-        from_ms: first as f64 * STEP_MS,
-        until_ms: (first + steps).min(STEPS) as f64 * STEP_MS,
-        takes: f64::from(takes),
+fn piece() -> impl Strategy<Value = Job> {
+    (0..STEPS, 1..=STEPS, 1u32..2_000, 1u32..50).prop_map(|(first, steps, takes, worth)| Job {
+        release_ms: first as f64 * STEP_MS,
+        deadline_ms: (first + steps).min(STEPS) as f64 * STEP_MS,
+        demand: f64::from(takes),
         worth: f64::from(worth),
     })
 }
 
 /// What each piece leaves undone if, at each moment, the one goes first whose time ends first.
-fn earliest_first(per_ms: &[f64], pieces: &[Piece]) -> Vec<f64> {
-    let mut left: Vec<f64> = pieces.iter().map(|piece| piece.takes).collect();
+fn earliest_first(per_ms: &[f64], pieces: &[Job]) -> Vec<f64> {
+    let mut left: Vec<f64> = pieces.iter().map(|piece| piece.demand).collect();
     for (step, supply) in per_ms.iter().enumerate() {
         let at_ms = step as f64 * STEP_MS;
         let mut there = supply * STEP_MS;
         let mut open: Vec<usize> = (0..pieces.len()).collect();
-        open.retain(|index| pieces[*index].from_ms <= at_ms && at_ms < pieces[*index].until_ms);
-        open.sort_by(|a, b| pieces[*a].until_ms.total_cmp(&pieces[*b].until_ms));
+        open.retain(|index| {
+            pieces[*index].release_ms <= at_ms && at_ms < pieces[*index].deadline_ms
+        });
+        open.sort_by(|a, b| pieces[*a].deadline_ms.total_cmp(&pieces[*b].deadline_ms));
         for index in open {
             let done = left[index].min(there);
             left[index] -= done;
@@ -51,15 +53,15 @@
         engines in vec(0u32..4, STEPS),
     ) {
         let per_ms: Vec<f64> = engines.iter().map(|count| f64::from(*count)).collect();
-        let shares = served(&mut Supply::new(&per_ms), &pieces);
+        let shares = served_shares(&mut Capacity::new(&per_ms), &pieces);
         let worth = |shares: &[f64]| -> f64 {
             pieces.iter().zip(shares).map(|(piece, share)| piece.worth * share).sum()
         };
-        let done: f64 = pieces.iter().zip(&shares).map(|(piece, share)| piece.takes * share).sum();
+        let done: f64 = pieces.iter().zip(&shares).map(|(piece, share)| piece.demand * share).sum();
         let there: f64 = per_ms.iter().map(|supply| supply * STEP_MS).sum();
         prop_assert!(done <= there + 1e-6);
         let left = earliest_first(&per_ms, &pieces);
-        let by_deadline: Vec<f64> = left.iter().zip(&pieces).map(|(l, p)| 1.0 - l / p.takes).collect();
+        let by_deadline: Vec<f64> = left.iter().zip(&pieces).map(|(l, p)| 1.0 - l / p.demand).collect();
         prop_assert!(worth(&shares) + 1e-6 >= worth(&by_deadline));
         if left.iter().all(|left| *left < 1e-9) {
             prop_assert!(shares.iter().all(|share| *share > 1.0 - 1e-9), "{shares:?}");
@@ -72,7 +74,7 @@
         let few: Vec<f64> = engines.iter().map(|count| f64::from(*count)).collect();
         let more: Vec<f64> = few.iter().map(|supply| supply + 1.0).collect();
         let worth = |per_ms: &[f64]| -> f64 {
-            let shares = served(&mut Supply::new(per_ms), &pieces);
+            let shares = served_shares(&mut Capacity::new(per_ms), &pieces);
             pieces.iter().zip(&shares).map(|(piece, share)| piece.worth * share).sum()
         };
         prop_assert!(worth(&more) + 1e-6 >= worth(&few));
@@ -87,8 +89,10 @@
 front-1 {{"timestamp":"2026-05-30 03:20:20.020 +00:00","text":"endpoint listed","kv":{{"endpoint":"i-1","service":"model"}}}}
 {requests}"#
     );
-    let lines = log.lines().filter_map(|line| Line::of_log(line, "front-1"));
-    Account::of(lines.collect())
+    let lines = log
+        .lines()
+        .filter_map(|line| LogLine::parse(line, "front-1"));
+    Account::from_lines(lines.collect())
 }
 
 /// A prompt of 10,000 tokens with an aim of a second that ended as told.
@@ -103,12 +107,12 @@
 const REFUSED: &str = r#""outcome":"refused","status":503,"detail":"too_late""#;
 
 fn shares(account: &Account) -> (f64, f64, f64) {
-    let parts = account.split.kinds["streaming 1000/250 ms"];
+    let parts = account.breakdown.kinds["streaming 1000/250 ms"];
     let share = |units: f64| (units / parts.units * 100.0).round() / 100.0;
     (
-        share(parts.lost),
-        share(parts.unservable),
-        share(parts.ours()),
+        share(parts.lost_units),
+        share(parts.unservable_units),
+        share(parts.avoidable_units()),
     )
 }
 
