--- a/src/command/demo.rs
+++ b/src/command/demo.rs
@@ -98,7 +98,7 @@
         return serve(options, out);
     }
     let summary = demo::run(options, out)?;
-    if summary.is_good() {
+    if summary.is_clean() {
         return Ok(());
     }
     let text = format!("{} lost, {} ran twice", summary.lost, summary.ran_twice);
--- a/src/demo/client.rs
+++ b/src/demo/client.rs
@@ -1,4 +1,4 @@
-//! One caller's request over HTTP, and how it ended as the caller saw it.
+//! HTTP client of the demonstration: sends one request and classifies how it ended for the caller.
 
 use std::io;
 use std::io::BufRead;
@@ -12,87 +12,87 @@
 use attohttpc::ResponseReader;
 use serde_json::Value;
 
-/// How much longer than its allotted time a caller waits for an outcome, in milliseconds.
-const GRACE_MS: u64 = 10_000;
+/// Time that a caller waits for an outcome beyond the allotted time, in milliseconds.
+const CALLER_GRACE_MS: u64 = 10_000;
 
 const MS_PER_S: f64 = 1_000.0;
 const EVENT_PREFIX: &str = "data: ";
 const EVENT_DONE: &str = "[DONE]";
 
-/// Time between two looks at an asynchronous request.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between polls for the result of an asynchronous request.
+const RESULT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 const STATUS_ACCEPTED: u16 = 202;
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// How the answer is to come.
+/// How the answer is delivered.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Delivery {
-    /// Whole, in the answer to the request.
+    /// Complete, in the response to the request.
     #[default]
-    Whole,
+    Buffered,
     /// As server-sent events.
     Streamed,
-    /// Kept by the system until it is fetched.
-    Later,
+    /// Stored by the system until the caller fetches it.
+    Async,
 }
 
-/// A request to send.
+/// A request to send to a gateway.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
-    /// Whole address.
+    /// Full URL.
     pub url: String,
-    /// Bearer key.
+    /// Bearer key of the organisation.
     pub bearer_key: String,
-    /// Kind of request, by which its row of limits is found.
+    /// Kind of request, which selects its row of limits.
     pub kind: String,
     /// JSON body.
     pub body: String,
-    /// How the answer is to come.
+    /// How the answer is delivered.
     pub delivery: Delivery,
-    /// Base address of the gateway that is asked for an answer that comes later.
-    pub later_url: String,
-    /// Key by which the request runs once, however often it is sent.
+    /// Base URL of the gateway that is polled for an asynchronous answer.
+    pub result_base_url: String,
+    /// Key under which the request runs at most once, however often it is sent.
     pub idempotency_key: Option<String>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
     /// Time allotted, in milliseconds.
     pub allotted_ms: u64,
 }
 
-/// How a request ended.
+/// How a request ended for its caller.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ended {
-    /// The whole answer came.
+pub enum EndState {
+    /// The complete answer arrived.
     Answered {
         /// The answer's text.
         text: String,
-        /// Time to the first byte of the answer's text, in milliseconds.
+        /// Time to the first text of the answer, or to the complete answer if it isn't streamed, in milliseconds.
         first_token_ms: f64,
     },
-    /// It was refused and not run; the reason.
+    /// The request was refused without having run, for this reason.
     Refused(String),
-    /// It ran, or partly ran, without a whole answer; the reason.
+    /// The request ran, at least in part, without a complete answer, for this reason.
     Failed(String),
-    /// It may have run; the reason.
+    /// The request may have run; with the reason of the failure.
     Unknown(String),
-    /// No outcome came; what came instead.
+    /// No outcome arrived; with a description of what arrived instead.
     Lost(String),
 }
 
-/// How a request ended, and which one it was.
+/// How a request ended, with its identifier.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
-    /// Identifier that the gateway gave it; empty if none came.
+    /// Identifier that the gateway assigned; empty if none arrived.
     pub request_id: String,
-    /// How it ended.
-    pub ended: Ended,
+    /// How the request ended.
+    pub end_state: EndState,
 }
 
-/// Sends a request and reads its answer to the end.
+/// Sends a request and reads its answer to the end. Transport errors become [`EndState::Lost`].
 pub fn send(request: &Request) -> Outcome {
-    let begun = Instant::now();
-    let mut builder = authorised(attohttpc::post(&request.url), request)
+    let started_at = Instant::now();
+    let mut builder = with_credentials(attohttpc::post(&request.url), request)
         .header("Content-Type", "application/json")
         .header("Request-Kind", &request.kind)
         .header("Request-Timeout-Ms", request.allotted_ms)
@@ -100,89 +100,96 @@
     if let Some(key) = &request.idempotency_key {
         builder = builder.header("Idempotency-Key", key);
     }
-    if request.delivery == Delivery::Later {
+    if request.delivery == Delivery::Async {
         builder = builder.header("Prefer", "respond-async");
     }
     match builder.text(&request.body).send() {
-        Ok(response) => read(request, response, begun),
+        Ok(response) => read_response(request, response, started_at),
         Err(error) => Outcome {
             request_id: String::new(),
-            ended: Ended::Lost(error.to_string()),
+            end_state: EndState::Lost(error.to_string()),
         },
     }
 }
 
-fn authorised<B>(builder: RequestBuilder<B>, request: &Request) -> RequestBuilder<B> {
-    let wait = Duration::from_millis(request.allotted_ms + GRACE_MS);
+fn with_credentials<B>(builder: RequestBuilder<B>, request: &Request) -> RequestBuilder<B> {
+    let timeout = Duration::from_millis(request.allotted_ms + CALLER_GRACE_MS);
     builder
         .header("Authorization", format!("Bearer {}", request.bearer_key))
-        .read_timeout(wait)
-        .timeout(wait)
+        .read_timeout(timeout)
+        .timeout(timeout)
 }
 
-fn read(request: &Request, response: Response, begun: Instant) -> Outcome {
+fn read_response(request: &Request, response: Response, started_at: Instant) -> Outcome {
     let request_id = response.headers().get("Request-Id");
     let request_id = request_id.and_then(|id| id.to_str().ok());
     let request_id = request_id.unwrap_or_default().to_string();
-    let ended = if response.status().as_u16() == STATUS_ACCEPTED {
-        read_later(request, response, begun)
+    let end_state = if response.status().as_u16() == STATUS_ACCEPTED {
+        poll_result(request, response, started_at)
     } else {
-        read_answer(request.delivery, response, begun)
+        read_answer(request.delivery, response, started_at)
     };
-    let ended = ended.unwrap_or_else(|error| Ended::Lost(error.to_string()));
-    Outcome { request_id, ended }
+    let end_state = end_state.unwrap_or_else(|error| EndState::Lost(error.to_string()));
+    Outcome {
+        request_id,
+        end_state,
+    }
 }
 
-fn read_answer(delivery: Delivery, response: Response, begun: Instant) -> io::Result<Ended> {
-    let success = response.is_success();
+fn read_answer(
+    delivery: Delivery,
+    response: Response,
+    started_at: Instant,
+) -> io::Result<EndState> {
+    let is_success = response.is_success();
     let (_, _, reader) = response.split();
-    match (success, delivery) {
-        (true, Delivery::Streamed) => read_events(reader, begun),
-        (true, _) => read_whole(reader, begun),
+    match (is_success, delivery) {
+        (true, Delivery::Streamed) => read_events(reader, started_at),
+        (true, _) => read_buffered(reader, started_at),
         (false, _) => read_error(reader),
     }
 }
 
-/// Looks for the answer of an accepted request until it is there or its time is over.
-fn read_later(request: &Request, accepted: Response, begun: Instant) -> io::Result<Ended> {
+/// Polls for the answer of an accepted request until it is available or the allotted time is over.
+fn poll_result(request: &Request, accepted: Response, started_at: Instant) -> io::Result<EndState> {
     let accepted: Value = accepted.json().map_err(io::Error::other)?;
     let Some(path) = accepted.get("result_url").and_then(Value::as_str) else {
-        return Ok(Ended::Lost("accepted without an address".to_string()));
+        return Ok(EndState::Lost("accepted without a result URL".to_string()));
     };
-    let url = format!("{}{path}", request.later_url);
-    let end = Instant::now() + Duration::from_millis(request.allotted_ms + GRACE_MS);
-    while Instant::now() < end {
-        let response = authorised(attohttpc::get(&url), request).send();
+    let url = format!("{}{path}", request.result_base_url);
+    let give_up_at = Instant::now() + Duration::from_millis(request.allotted_ms + CALLER_GRACE_MS);
+    while Instant::now() < give_up_at {
+        let response = with_credentials(attohttpc::get(&url), request).send();
         let response = response.map_err(io::Error::other)?;
         match response.status().as_u16() {
-            STATUS_ACCEPTED | STATUS_UNAVAILABLE => thread::sleep(LOOK),
-            _ => return read_answer(request.delivery, response, begun),
+            STATUS_ACCEPTED | STATUS_UNAVAILABLE => thread::sleep(RESULT_POLL_INTERVAL),
+            _ => return read_answer(request.delivery, response, started_at),
         }
     }
-    Ok(Ended::Lost(
-        "accepted, and no outcome in its time".to_string(),
+    Ok(EndState::Lost(
+        "accepted, but no outcome within the allotted time".to_string(),
     ))
 }
 
-fn read_whole(reader: ResponseReader, begun: Instant) -> io::Result<Ended> {
+fn read_buffered(reader: ResponseReader, started_at: Instant) -> io::Result<EndState> {
     let body = reader.text().map_err(io::Error::other)?;
-    let first_token_ms = elapsed_ms(begun);
+    let first_token_ms = elapsed_ms(started_at);
     let parsed: Option<Value> = serde_json::from_str(&body).ok();
     let text = parsed.as_ref().and_then(choice_text).unwrap_or(body);
-    Ok(Ended::Answered {
+    Ok(EndState::Answered {
         text,
         first_token_ms,
     })
 }
 
-fn read_error(reader: ResponseReader) -> io::Result<Ended> {
+fn read_error(reader: ResponseReader) -> io::Result<EndState> {
     let body = reader.text().map_err(io::Error::other)?;
     let parsed: Option<Value> = serde_json::from_str(&body).ok();
-    let ended = parsed.as_ref().and_then(error_of);
-    Ok(ended.unwrap_or(Ended::Lost(body)))
+    let end_state = parsed.as_ref().and_then(parse_error);
+    Ok(end_state.unwrap_or(EndState::Lost(body)))
 }
 
-fn read_events(reader: ResponseReader, begun: Instant) -> io::Result<Ended> {
+fn read_events(reader: ResponseReader, started_at: Instant) -> io::Result<EndState> {
     let mut text = String::new();
     let mut first_token_ms = None;
     for line in BufReader::new(reader).lines() {
@@ -191,28 +198,30 @@
             continue;
         };
         if data == EVENT_DONE {
-            let first_token_ms = first_token_ms.unwrap_or_else(|| elapsed_ms(begun));
-            return Ok(Ended::Answered {
+            let first_token_ms = first_token_ms.unwrap_or_else(|| elapsed_ms(started_at));
+            return Ok(EndState::Answered {
                 text,
                 first_token_ms,
             });
         }
         let event: Value = serde_json::from_str(data).map_err(io::Error::other)?;
-        if let Some(ended) = error_of(&event) {
-            return Ok(ended);
+        if let Some(end_state) = parse_error(&event) {
+            return Ok(end_state);
         }
         let Some(piece) = choice_text(&event) else {
             continue;
         };
         if first_token_ms.is_none() && !piece.is_empty() {
-            first_token_ms = Some(elapsed_ms(begun));
+            first_token_ms = Some(elapsed_ms(started_at));
         }
         text.push_str(&piece);
     }
-    Ok(Ended::Lost("the stream stops before its end".to_string()))
+    Ok(EndState::Lost(
+        "the stream ended before its last event".to_string(),
+    ))
 }
 
-/// The text of a whole answer or of one event, for chats and plain completions.
+/// Text of a complete answer or of one event, for chat and plain completions.
 fn choice_text(value: &Value) -> Option<String> {
     let choice = value.get("choices")?.get(0)?;
     let content = choice
@@ -222,18 +231,18 @@
     content.as_str().map(str::to_string)
 }
 
-fn error_of(value: &Value) -> Option<Ended> {
+fn parse_error(value: &Value) -> Option<EndState> {
     let error = value.get("error")?;
     let reason = error.get("reason").and_then(Value::as_str);
     let reason = reason.unwrap_or("no reason").to_string();
     Some(match error.get("not_run") {
-        Some(Value::Bool(true)) => Ended::Refused(reason),
-        Some(Value::Bool(false)) => Ended::Failed(reason),
-        Some(Value::String(text)) if text == "unknown" => Ended::Unknown(reason),
-        _ => Ended::Lost(format!("an error without not_run: {error}")),
+        Some(Value::Bool(true)) => EndState::Refused(reason),
+        Some(Value::Bool(false)) => EndState::Failed(reason),
+        Some(Value::String(text)) if text == "unknown" => EndState::Unknown(reason),
+        _ => EndState::Lost(format!("an error without a valid not_run: {error}")),
     })
 }
 
-fn elapsed_ms(begun: Instant) -> f64 {
-    begun.elapsed().as_secs_f64() * MS_PER_S
+fn elapsed_ms(started_at: Instant) -> f64 {
+    started_at.elapsed().as_secs_f64() * MS_PER_S
 }
--- a/src/demo/fleet.rs
+++ b/src/demo/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of the demonstration, as threads of this one.
+//! Runs the processes of the demonstration as threads of this process.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,39 +28,39 @@
 use super::load::Target;
 use super::plan;
 use super::plan::Call;
-use super::plan::Planned;
+use super::plan::PlannedRequest;
 use super::report::Summary;
 use super::table;
 use crate::error::Error;
 use crate::status::parse_metrics;
 
 const ZONES: [&str; 2] = ["zone-1", "zone-2"];
-/// Tokens of imported KV that take the room of one.
+/// Number of imported KV tokens that take the memory of one local token.
 const KV_IMPORT_RATIO: u64 = 8;
 const SERVICE_ENDPOINT: &str = "stock-1";
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-const READY_LOOK: Duration = Duration::from_millis(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Settings of the fleet.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Addresses of the gateways for callers; port 0 takes a free one.
+    /// Listen addresses of the gateways; port 0 selects a free port.
     pub gateways: Vec<SocketAddr>,
-    /// Engines, each with its sidecar; they take turns among the availability zones.
+    /// Number of engines, each with its sidecar, spread over the availability zones in turn.
     pub engines: usize,
-    /// Memory of each engine. The longest prompts need three engines of the default.
+    /// KV memory of each engine, in tokens. With the default, the longest prompts need three engines.
     pub kv_capacity_tokens: u64,
-    /// How much faster than a real engine's the stand-ins' times are.
+    /// Factor by which the stand-ins run faster than real engines.
     pub time_scale: f64,
-    /// Time that a call of the plain service takes, in milliseconds.
+    /// Duration of a call of the plain service, in milliseconds.
     pub service_delay_ms: u64,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            gateways: vec![any_port(), any_port()],
+            gateways: vec![loopback_any_port(), loopback_any_port()],
             engines: 4,
             kv_capacity_tokens: 450_000,
             time_scale: 20.0,
@@ -80,9 +80,10 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until the gateways serve and reach each sidecar.
+    /// Starts all processes and waits until every gateway is ready and has a live session with each sidecar. Fails if a
+    /// process doesn't start or the gateways aren't ready in time.
     pub fn start(options: Options) -> Result<Self, Error> {
-        let platform = Platform::start(platform::Options::default()).map_err(failed)?;
+        let platform = Platform::start(platform::Options::default()).map_err(to_error)?;
         let engines: Vec<Engine> = (0..options.engines)
             .map(|_| start_engine(&options))
             .collect::<Result<_, _>>()?;
@@ -111,26 +112,27 @@
     }
 
     fn wait_until_ready(&self) -> Result<(), Error> {
-        let end = Instant::now() + READY_TIMEOUT;
-        while !self.gateways.iter().all(|gateway| self.serves(gateway)) {
-            if Instant::now() >= end {
-                let text = "the gateways didn't get ready; see the log with --log-level info";
+        let give_up_at = Instant::now() + READY_TIMEOUT;
+        while !self.gateways.iter().all(|gateway| self.is_ready(gateway)) {
+            if Instant::now() >= give_up_at {
+                let text =
+                    "the gateways didn't become ready in time; see the log with --log-level info";
                 return Err(Error::Failed(text.to_string()));
             }
-            thread::sleep(READY_LOOK);
+            thread::sleep(READY_POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// A session without a first load report serves nothing yet.
-    fn serves(&self, (gateway, _): &(Gateway, Registry)) -> bool {
+    /// Whether a gateway is ready and all its sessions are live; a session becomes live with its first load report.
+    fn is_ready(&self, (gateway, _): &(Gateway, Registry)) -> bool {
         let view = gateway.core().view();
         let endpoints = view.endpoints.iter().flatten();
         let live = endpoints.filter(|endpoint| endpoint.state == EndpointState::Live);
         gateway.health().ready().is_ok() && live.count() == self.sidecars.len()
     }
 
-    /// Where the load goes.
+    /// Gateways to which the load is sent.
     pub fn target(&self) -> Target {
         let address = |(gateway, _): &(Gateway, Registry)| gateway.address();
         Target {
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Operators' addresses of gateways and sidecars.
+    /// Admin addresses of the gateways and sidecars.
     pub fn admin_addresses(&self) -> Vec<SocketAddr> {
         let gateways = self.gateways.iter();
         let gateways = gateways.map(|(gateway, _)| gateway.admin_address());
@@ -147,12 +149,12 @@
         gateways.chain(sidecars).flatten().collect()
     }
 
-    /// Base address of the platform.
+    /// Base URL of the platform.
     pub fn platform_url(&self) -> String {
         self.platform.url()
     }
 
-    /// A line for people.
+    /// Human-readable summary of the running processes.
     pub fn describe(&self) -> String {
         format!(
             "{} gateways, {} engines in {} availability zones and 1 plain service",
@@ -162,60 +164,66 @@
         )
     }
 
-    /// Counts what callers saw, what the gateways admitted and what the endpoints ran.
-    pub fn audit(&self, records: &[Record]) -> Summary {
+    /// Summarizes the outcomes that callers saw, the requests that gateways admitted and those that endpoints ran.
+    pub fn summarize(&self, records: &[Record]) -> Summary {
         self.wait_until_settled();
-        let admitted = self.total("mgs_gateway_admitted_total");
-        let ended = self.total("mgs_gateway_ended_total");
-        let without_end = (admitted - ended).max(0.0) as u64;
-        let seen = Summary::of(records);
+        let admitted = self.metric_total("mgs_gateway_admitted_total");
+        let ended = self.metric_total("mgs_gateway_ended_total");
+        let without_outcome = (admitted - ended).max(0.0) as u64;
+        let by_callers = Summary::of(records);
         Summary {
             admitted: admitted as u64,
-            lost: seen.lost.max(without_end),
+            lost: by_callers.lost.max(without_outcome),
             ran_twice: self.ran_twice(records),
-            ..seen
+            ..by_callers
         }
     }
 
-    /// A gateway counts an end just after the caller has read it.
+    /// Waits until no gateway has open requests, since a gateway counts the end of a request just after its caller has
+    /// read it.
     fn wait_until_settled(&self) {
-        let end = Instant::now() + SETTLE_TIMEOUT;
-        while self.total("mgs_gateway_open_requests") > 0.0 && Instant::now() < end {
-            thread::sleep(READY_LOOK);
+        let give_up_at = Instant::now() + SETTLE_TIMEOUT;
+        while self.metric_total("mgs_gateway_open_requests") > 0.0 && Instant::now() < give_up_at {
+            thread::sleep(READY_POLL_INTERVAL);
         }
     }
 
-    fn total(&self, name: &str) -> f64 {
+    fn metric_total(&self, name: &str) -> f64 {
         let values = self
             .gateways
             .iter()
-            .map(|(_, registry)| metric(registry, name));
+            .map(|(_, registry)| sum_metric(registry, name));
         values.sum()
     }
 
-    /// Non-idempotent requests that the endpoints ran more than once, by the endpoints' own count.
+    /// Number of non-idempotent requests that ran more than once, according to the endpoints.
     fn ran_twice(&self, records: &[Record]) -> u64 {
-        let mut prompts: HashMap<u64, u64> = HashMap::new();
+        let mut runs_by_prompt: HashMap<u64, u64> = HashMap::new();
         for execution in self.engines.iter().flat_map(Engine::executions) {
-            *prompts.entry(execution.prompt_hash).or_default() += 1;
+            *runs_by_prompt.entry(execution.prompt_hash).or_default() += 1;
         }
-        let calls = self.service.executions();
-        let ran = |record: &Record| match record.planned.call {
+        let service_calls = self.service.executions();
+        let run_count = |record: &Record| match record.planned.call {
             Call::Completion { .. } => {
                 let hash = prompt_hash(&prompt_of(&record.planned));
-                prompts.get(&hash).copied().unwrap_or_default()
+                runs_by_prompt.get(&hash).copied().unwrap_or_default()
             }
             Call::Service => {
                 let path = plan::service_path(&record.planned);
-                calls.iter().filter(|call| call.path == path).count() as u64
+                service_calls
+                    .iter()
+                    .filter(|call| call.path == path)
+                    .count() as u64
             }
         };
         let non_idempotent = records.iter().filter(|record| !record.planned.idempotent);
-        non_idempotent.filter(|record| ran(record) > 1).count() as u64
+        non_idempotent
+            .filter(|record| run_count(record) > 1)
+            .count() as u64
     }
 }
 
-fn prompt_of(planned: &Planned) -> String {
+fn prompt_of(planned: &PlannedRequest) -> String {
     match planned.call {
         Call::Completion {
             prompt_tokens,
@@ -226,20 +234,20 @@
     }
 }
 
-fn any_port() -> SocketAddr {
+fn loopback_any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Sum of a metric over its labels.
-fn metric(registry: &Registry, name: &str) -> f64 {
+/// Sum of a metric over all its labels.
+fn sum_metric(registry: &Registry, name: &str) -> f64 {
     let labelled = format!("{name}{{");
     let metrics = parse_metrics(&registry.encode());
-    let of_name = |key: &str| key == name || key.starts_with(&labelled);
-    let values = metrics.iter().filter(|(key, _)| of_name(key));
+    let matches = |key: &str| key == name || key.starts_with(&labelled);
+    let values = metrics.iter().filter(|(key, _)| matches(key));
     values.map(|(_, value)| value).sum()
 }
 
-fn failed(error: impl std::fmt::Display) -> Error {
+fn to_error(error: impl std::fmt::Display) -> Error {
     Error::Failed(error.to_string())
 }
 
@@ -251,7 +259,7 @@
         time_scale: options.time_scale,
         ..engine::Options::default()
     };
-    Engine::start(options).map_err(failed)
+    Engine::start(options).map_err(to_error)
 }
 
 fn start_service(options: &Options) -> Result<Service, Error> {
@@ -259,10 +267,10 @@
         delay_ms: options.service_delay_ms,
         ..service::Options::default()
     };
-    Service::start(options).map_err(failed)
+    Service::start(options).map_err(to_error)
 }
 
-/// Starts a sidecar beside each endpoint, with the endpoint's row for the table.
+/// Starts a sidecar for each endpoint and returns it with the endpoint's row of the table.
 fn start_sidecars(
     engines: &[Engine],
     service: &Service,
@@ -306,10 +314,10 @@
         kind: row.kind(),
         endpoint_url,
         platform_url: Some(platform.url()),
-        admin_listen: Some(any_port()),
+        admin_listen: Some(loopback_any_port()),
         ..sidecar::Options::default()
     };
-    let sidecar = Sidecar::start(options).map_err(failed)?;
+    let sidecar = Sidecar::start(options).map_err(to_error)?;
     let row = EndpointRow {
         sidecar_address: sidecar.address().to_string(),
         ..row
@@ -327,13 +335,13 @@
         name: format!("gateway-{}", index + 1),
         zone: ZONES[index % ZONES.len()].to_string(),
         listen,
-        peer_listen: Some(any_port()),
-        admin_listen: Some(any_port()),
+        peer_listen: Some(loopback_any_port()),
+        admin_listen: Some(loopback_any_port()),
         platform: Some(duty::Platform::over_http(platform_options(platform))),
         registry: registry.clone(),
         ..gateway::Options::default()
     });
-    Ok((gateway.map_err(failed)?, registry))
+    Ok((gateway.map_err(to_error)?, registry))
 }
 
 fn platform_options(platform: &Platform) -> http::Options {
--- a/src/demo/load.rs
+++ b/src/demo/load.rs
@@ -1,4 +1,4 @@
-//! Sends the planned requests at their times and collects how each one ended.
+//! Sends the planned requests at their scheduled times and records their outcomes.
 
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -11,45 +11,45 @@
 
 use super::client;
 use super::client::Delivery;
-use super::client::Ended;
+use super::client::EndState;
 use super::client::Outcome;
 use super::client::Request;
 use super::plan;
 use super::plan::Call;
-use super::plan::Planned;
+use super::plan::PlannedRequest;
 use super::progress::Progress;
 
-/// Where requests go.
+/// Gateways and credentials for the load.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Gateways; requests take turns.
+    /// Gateway addresses; requests are distributed round-robin.
     pub gateways: Vec<SocketAddr>,
-    /// Bearer keys by organisation.
+    /// Bearer keys by index of the organisation.
     pub bearer_keys: Vec<String>,
 }
 
-/// One request and its end.
+/// A request and its outcome.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// What was sent.
-    pub planned: Planned,
-    /// How it ended.
+    /// The request that was sent.
+    pub planned: PlannedRequest,
+    /// How the request ended.
     pub outcome: Outcome,
 }
 
-/// Sends everything and waits for every end.
-pub fn run(planned: Vec<Planned>, target: &Target, progress: &Progress) -> Vec<Record> {
-    let begun = Instant::now();
+/// Sends all requests and waits until each of them has ended.
+pub fn run(planned: Vec<PlannedRequest>, target: &Target, progress: &Progress) -> Vec<Record> {
+    let started_at = Instant::now();
     let (ended, records) = mpsc::channel();
     thread::scope(|scope| {
         for planned in planned {
-            wait_until(begun, planned.at_ms);
+            wait_until(started_at, planned.at_ms);
             progress.sent();
             let ended = ended.clone();
             scope.spawn(move || {
                 let record = send(planned, target);
                 progress.ended();
-                // The receiver lives until all senders are gone.
+                // The receiver outlives all senders.
                 let _ = ended.send(record);
             });
         }
@@ -58,20 +58,20 @@
     records.into_iter().collect()
 }
 
-fn wait_until(begun: Instant, at_ms: u64) {
+fn wait_until(started_at: Instant, at_ms: u64) {
     let at = Duration::from_millis(at_ms);
-    thread::sleep(at.saturating_sub(begun.elapsed()));
+    thread::sleep(at.saturating_sub(started_at.elapsed()));
 }
 
-fn send(planned: Planned, target: &Target) -> Record {
+fn send(planned: PlannedRequest, target: &Target) -> Record {
     let first = planned.number as usize % target.gateways.len();
     let second = (first + 1) % target.gateways.len();
-    let outcome = if planned.doubled {
+    let outcome = if planned.duplicated {
         thread::scope(|scope| {
-            let other = scope.spawn(|| send_to(&planned, target, second, first));
+            let duplicate = scope.spawn(|| send_to(&planned, target, second, first));
             let outcome = send_to(&planned, target, first, second);
-            let other = other.join().expect("BUG: a caller panicked");
-            joined(outcome, other)
+            let duplicate = duplicate.join().expect("BUG: a caller panicked");
+            merge_outcomes(outcome, duplicate)
         })
     } else {
         send_to(&planned, target, first, second)
@@ -79,20 +79,25 @@
     Record { planned, outcome }
 }
 
-/// The end of a request that was sent twice: that of the copy that ran. A copy without an outcome
-/// is lost, whatever became of the other.
-fn joined(first: Outcome, second: Outcome) -> Outcome {
-    match (&first.ended, &second.ended) {
-        (Ended::Lost(_), _) => first,
-        (_, Ended::Lost(_)) => second,
-        (Ended::Refused(_), _) => second,
+/// Outcome of a request that was sent twice: that of the copy that ran. If either copy has no outcome,
+/// the request counts as lost.
+fn merge_outcomes(first: Outcome, second: Outcome) -> Outcome {
+    match (&first.end_state, &second.end_state) {
+        (EndState::Lost(_), _) => first,
+        (_, EndState::Lost(_)) => second,
+        (EndState::Refused(_), _) => second,
         _ => first,
     }
 }
 
-/// Sends a request to one gateway; an answer that comes later is fetched from another.
-fn send_to(planned: &Planned, target: &Target, gateway: usize, later: usize) -> Outcome {
-    let request = base(planned, target, later);
+/// Sends a request to one gateway; an asynchronous answer is fetched from `result_gateway`.
+fn send_to(
+    planned: &PlannedRequest,
+    target: &Target,
+    gateway: usize,
+    result_gateway: usize,
+) -> Outcome {
+    let request = base_request(planned, target, result_gateway);
     let gateway = target.gateways[gateway];
     let mut outcome = match planned.call {
         Call::Completion {
@@ -104,13 +109,13 @@
             let prompt = plan::prompt(planned, prompt_tokens, shared_prefix);
             let request = Request {
                 url: format!("http://{gateway}/v1/completions"),
-                body: completion(&prompt, max_tokens, delivery),
+                body: completion_body(&prompt, max_tokens, delivery),
                 delivery,
                 ..request
             };
             let outcome = client::send(&request);
             drop(request);
-            compared(outcome, &expected(&prompt, max_tokens))
+            check_answer(outcome, &expected(&prompt, max_tokens))
         }
         Call::Service => {
             let path = plan::service_path(planned);
@@ -121,14 +126,14 @@
             })
         }
     };
-    if let Ended::Answered { text, .. } = &mut outcome.ended {
-        // Compared above; kept texts would only take memory.
+    if let EndState::Answered { text, .. } = &mut outcome.end_state {
+        // The text has been checked above; keeping it would only use memory.
         text.clear();
     }
     outcome
 }
 
-fn completion(prompt: &str, max_tokens: u64, delivery: Delivery) -> String {
+fn completion_body(prompt: &str, max_tokens: u64, delivery: Delivery) -> String {
     let body = json!({
         "model": plan::MODEL,
         "prompt": prompt,
@@ -138,25 +143,25 @@
     body.to_string()
 }
 
-fn base(planned: &Planned, target: &Target, later: usize) -> Request {
+fn base_request(planned: &PlannedRequest, target: &Target, result_gateway: usize) -> Request {
     let kind = &plan::KINDS[planned.kind];
     let key = || format!("demo-{}", planned.number);
     Request {
         bearer_key: target.bearer_keys[planned.organisation].clone(),
         kind: kind.name.to_string(),
-        later_url: format!("http://{}", target.gateways[later]),
-        idempotency_key: planned.doubled.then(key),
+        result_base_url: format!("http://{}", target.gateways[result_gateway]),
+        idempotency_key: planned.duplicated.then(key),
         idempotent: planned.idempotent,
         allotted_ms: kind.allotted_ms,
         ..Request::default()
     }
 }
 
-/// An answer that isn't the engine's is no outcome.
-fn compared(outcome: Outcome, wanted: &str) -> Outcome {
-    match &outcome.ended {
-        Ended::Answered { text, .. } if text != wanted => Outcome {
-            ended: Ended::Lost("the answer isn't the one that the engine gave".to_string()),
+/// Marks an answer that differs from the engine's as lost.
+fn check_answer(outcome: Outcome, expected_text: &str) -> Outcome {
+    match &outcome.end_state {
+        EndState::Answered { text, .. } if text != expected_text => Outcome {
+            end_state: EndState::Lost("the answer differs from the engine's".to_string()),
             ..outcome
         },
         _ => outcome,
--- a/src/demo/progress.rs
+++ b/src/demo/progress.rs
@@ -1,4 +1,4 @@
-//! The progress display, shown when standard error is a terminal.
+//! Progress bar on standard error, shown only on a terminal.
 
 use std::io::IsTerminal;
 use std::sync::atomic::AtomicU64;
@@ -10,7 +10,7 @@
 
 const TEMPLATE: &str = "{elapsed_precise} {bar:30} {pos}/{len} ended  {msg}";
 
-/// A display of how many requests have ended.
+/// Progress bar that counts the requests sent and ended.
 #[derive(Debug)]
 pub struct Progress {
     bar: ProgressBar,
@@ -18,7 +18,7 @@
 }
 
 impl Progress {
-    /// A display for `total` requests; silent unless standard error is a terminal.
+    /// Creates a progress bar for `total` requests; it is hidden unless standard error is a terminal.
     pub fn new(total: u64) -> Self {
         let target = if std::io::stderr().is_terminal() {
             ProgressDrawTarget::stderr()
@@ -34,18 +34,18 @@
         }
     }
 
-    /// Counts a request that was sent.
+    /// Counts a sent request.
     pub fn sent(&self) {
         let sent = self.sent.fetch_add(1, Ordering::Relaxed) + 1;
         self.bar.set_message(format!("{sent} sent"));
     }
 
-    /// Counts a request that ended.
+    /// Counts an ended request.
     pub fn ended(&self) {
         self.bar.inc(1);
     }
 
-    /// Takes the display away.
+    /// Removes the progress bar.
     pub fn finish(&self) {
         self.bar.finish_and_clear();
     }
--- a/src/demo/table.rs
+++ b/src/demo/table.rs
@@ -1,4 +1,4 @@
-//! The demonstration's table: its rows, and the edit that makes them.
+//! Settings table of the demonstration: its rows, and the edit that writes them.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
@@ -18,12 +18,12 @@
 use super::plan;
 use crate::error::Error;
 
-/// The demonstration's keys are no secret.
+/// Bearer key of an organisation. The demonstration's keys aren't secret.
 pub(super) fn bearer_key(organisation: &str) -> String {
     format!("demo-key-{organisation}")
 }
 
-/// The rows of the table: these endpoints, the organisations and the kinds of request.
+/// Changes that set the rows of the table: endpoints, organisations and kinds of request.
 pub(super) fn changes(endpoints: &[EndpointRow], bearer_keys: &[String]) -> Vec<Change> {
     let endpoints = endpoints.iter().cloned().map(RowValue::Endpoint);
     let organisations = plan::ORGANISATIONS.iter().zip(bearer_keys);
@@ -48,7 +48,7 @@
     rows.map(RowValue::set).collect()
 }
 
-/// Writes the first version of the table.
+/// Commits the changes as the first version of the table. Fails if the store rejects the edit.
 pub(super) fn write(client: &http::Client, changes: Vec<Change>) -> Result<(), Error> {
     let store = Store {
         table: client,
--- a/src/explain/sizes.rs
+++ b/src/explain/sizes.rs
@@ -81,7 +81,7 @@
 
     fn add(&mut self, trace: &RequestTrace) {
         let size = |line: &LogLine| line.number("size_tokens") as u64;
-        let size_tokens = trace.lines.iter().map(size).max().unwrap_or(0);
+        let largest_tokens = trace.lines.iter().map(size).max().unwrap_or(0);
         let has_prompt = trace.lines.iter().any(|l| l.number("prompt_tokens") > 0.0);
         let Some(cause) = Cause::of(trace).filter(|_| has_prompt) else {
             return;
@@ -90,7 +90,7 @@
             .last_with_text("stream ended")
             .map(|line| line.field("outcome"));
         let ended = EndedRequest {
-            size_tokens,
+            size_tokens: largest_tokens,
             is_answered: outcome.is_some_and(|outcome| outcome == "answered"),
             cause,
         };
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -22,7 +22,7 @@
 use common::process::Process;
 use marigoldstage::demo::client;
 use marigoldstage::demo::client::Delivery;
-use marigoldstage::demo::client::Ended;
+use marigoldstage::demo::client::EndState;
 use marigoldstage::demo::client::Request;
 use mgs_platform::http;
 use mgs_platform::table::Table as PlatformTable;
@@ -84,7 +84,7 @@
         let end = Instant::now() + READY_TIMEOUT;
         loop {
             let outcome = client::send(&self.completion("are you there", 1, false));
-            if matches!(outcome.ended, Ended::Answered { .. }) {
+            if matches!(outcome.end_state, EndState::Answered { .. }) {
                 return;
             }
             assert!(Instant::now() < end, "not serving: {outcome:?}");
@@ -106,7 +106,7 @@
             body: body.to_string(),
             delivery: match streamed {
                 true => Delivery::Streamed,
-                false => Delivery::Whole,
+                false => Delivery::Buffered,
             },
             allotted_ms: 60_000,
             ..Request::default()
@@ -118,7 +118,7 @@
 fn a_streamed_answer_comes_whole_through_all_processes() {
     let cluster = Cluster::start();
     let outcome = client::send(&cluster.completion("which trees are in stock", 40, true));
-    let Ended::Answered { text, .. } = outcome.ended else {
+    let EndState::Answered { text, .. } = outcome.end_state else {
         panic!("{outcome:?}");
     };
     assert_eq!(text, expected("which trees are in stock", 40));
@@ -129,7 +129,7 @@
         ..cluster.completion("", 0, false)
     };
     let outcome = client::send(&request);
-    let Ended::Answered { text, .. } = outcome.ended else {
+    let EndState::Answered { text, .. } = outcome.end_state else {
         panic!("{outcome:?}");
     };
     assert!(text.contains("/items/7"), "{text}");
@@ -138,8 +138,8 @@
         bearer_key: "nobody's".to_string(),
         ..cluster.completion("x", 1, false)
     };
-    let refused = Ended::Refused("unauthenticated".to_string());
-    assert_eq!(client::send(&wrong).ended, refused);
+    let refused = EndState::Refused("unauthenticated".to_string());
+    assert_eq!(client::send(&wrong).end_state, refused);
 }
 
 /// A client that keeps its connection knows by the last chunk alone that the answer is over.
