--- a/src/account/breakdown.rs
+++ b/src/account/breakdown.rs
@@ -1,9 +1,9 @@
 //! Divides the loss into unservable, unforeseeable and avoidable loss.
 //!
 //! Unservable loss is a lower bound: the work that the listed engines couldn't have prefilled or decoded in time even if
-//! all prompts had been known in advance and were infinitely divisible, and requests that were open during an outage of
-//! all hosts. Unforeseeable loss is that of requests whose endpoint failed, which shows only when it happens. The rest
-//! counts as avoidable; this is an upper bound, since the first one ignores pauses, memory and indivisible work.
+//! all prompts had been known in advance and were infinitely divisible, and requests that couldn't have ended
+//! before an outage of all hosts. Unforeseeable loss is that of requests whose endpoint failed, which shows only when it happens. The rest
+//! counts as avoidable; this is an upper bound, since the bound ignores pauses, memory and indivisible work.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 use super::outcome::Outcome;
 
 /// Most engines that share the prefill of one prompt, including the one that decodes its answer.
-const MAX_READING_ENGINES: f64 = 17.0;
+const MAX_PREFILL_ENGINES: f64 = 17.0;
 
 /// Loss of one kind of request, in units of worth.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -26,7 +26,7 @@
     pub units: f64,
     /// Total loss.
     pub lost_units: f64,
-    /// Part of the loss that no schedule could have served.
+    /// Worth that no schedule could have served.
     pub unservable_units: f64,
     /// Part of the remaining loss that is due to failed endpoints.
     pub unforeseeable_units: f64,
@@ -62,13 +62,13 @@
         let model = engines.model();
         let bound = ServableBound { engines, model };
         let on_time = bound.on_time_shares(outcomes);
-        let in_time = bound.completed_shares(outcomes);
+        let completed = bound.completed_shares(outcomes);
         let mut breakdown = Self {
             has_engines: model.is_some(),
             ..Self::default()
         };
         for (index, outcome) in outcomes.iter().enumerate() {
-            let servable = LATE_SHARE * on_time[index] + (1.0 - LATE_SHARE) * in_time[index];
+            let servable = LATE_SHARE * on_time[index] + (1.0 - LATE_SHARE) * completed[index];
             breakdown.add(outcome, servable);
         }
         breakdown
@@ -87,14 +87,14 @@
     }
 }
 
-/// Upper bound on the share of each request that could be served.
+/// Computes an upper bound on the share of each request that could be served.
 struct ServableBound<'a> {
     engines: &'a EngineHistory,
     model: Option<(&'a String, &'a EngineModel)>,
 }
 
 impl ServableBound<'_> {
-    /// Share of each request whose first token could be written within its aim.
+    /// Share of each request whose first token could be produced within its aim.
     fn on_time_shares(&self, outcomes: &[Outcome]) -> Vec<f64> {
         let job = |outcome: &Outcome| {
             let arrived_ms = outcome.arrived_s * 1e3;
@@ -155,7 +155,7 @@
 
     /// Whether an outage of all hosts began before the request could have ended at the earliest.
     fn is_cut_by_outage(&self, outcome: &Outcome, job: &Job) -> bool {
-        let min_ms = self.prefill_ms(outcome) / MAX_READING_ENGINES + self.decode_alone_ms(outcome);
+        let min_ms = self.prefill_ms(outcome) / MAX_PREFILL_ENGINES + self.decode_alone_ms(outcome);
         let outage_ms = self.engines.next_outage_ms(job.release_ms);
         outage_ms.is_some_and(|outage_ms| job.release_ms + min_ms > outage_ms)
     }
--- a/src/account/display.rs
+++ b/src/account/display.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 struct Totals {
     requests: usize,
-    ends: BTreeMap<EndClass, usize>,
+    end_counts: BTreeMap<EndClass, usize>,
     units: f64,
     lost_units: f64,
 }
@@ -29,13 +29,13 @@
 impl Totals {
     fn add(&mut self, outcome: &Outcome) {
         self.requests += 1;
-        *self.ends.entry(outcome.end_class()).or_default() += 1;
+        *self.end_counts.entry(outcome.end_class()).or_default() += 1;
         self.units += outcome.units;
         self.lost_units += outcome.lost_units;
     }
 
-    fn share(&self, end_class: EndClass) -> f64 {
-        let count = self.ends.get(&end_class).copied().unwrap_or(0);
+    fn end_share(&self, end_class: EndClass) -> f64 {
+        let count = self.end_counts.get(&end_class).copied().unwrap_or(0);
         count as f64 / self.requests.max(1) as f64
     }
 
@@ -97,10 +97,10 @@
             f,
             "{name:<32} {:>8} {:>8.3} {:>8.3} {:>8.3} {:>8.3} {:>8.3}",
             totals.requests,
-            totals.share(EndClass::OnTime),
-            totals.share(EndClass::Late),
-            totals.share(EndClass::Refused),
-            totals.share(EndClass::Failed),
+            totals.end_share(EndClass::OnTime),
+            totals.end_share(EndClass::Late),
+            totals.end_share(EndClass::Refused),
+            totals.end_share(EndClass::Failed),
             totals.lost_share(),
         )?;
     }
@@ -163,7 +163,7 @@
     }
     let by_dispatch = refusals.by_dispatch.iter();
     let by_dispatch: Vec<String> = by_dispatch
-        .map(|(n, count)| format!("{count} at try {n}"))
+        .map(|(dispatch, count)| format!("{count} at try {dispatch}"))
         .collect();
     writeln!(
         f,
--- a/src/account/engines.rs
+++ b/src/account/engines.rs
@@ -18,7 +18,7 @@
     until_ms: f64,
 }
 
-/// The engines that the logs of one run mention.
+/// The engines that a set of logs mentions.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EngineHistory {
     /// Declared cost model of the engines, by service.
@@ -33,9 +33,9 @@
     pub(super) fn from_lines(lines: &[LogLine], start_ms: f64) -> Self {
         let mut history = Self::default();
         let mut sorted: Vec<&LogLine> = lines.iter().collect();
-        sorted.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
+        sorted.sort_by(|a, b| a.time_of_day_ms.total_cmp(&b.time_of_day_ms));
         for line in &sorted {
-            history.apply(line, line.at_ms - start_ms);
+            history.apply(line, line.time_of_day_ms - start_ms);
         }
         history.outages_ms = outage_starts_ms(&sorted, start_ms);
         history
@@ -45,12 +45,12 @@
         match line.text.as_str() {
             "engines declared" => self.add_model(line),
             "endpoint listed" => {
-                let of_service = self.listed.entry(line.field("service")).or_default();
+                let endpoints = self.listed.entry(line.field("service")).or_default();
                 let interval = ListedInterval {
                     from_ms: at_ms,
                     until_ms: f64::INFINITY,
                 };
-                of_service.entry(line.field("endpoint")).or_insert(interval);
+                endpoints.entry(line.field("endpoint")).or_insert(interval);
             }
             "endpoint dropped" => {
                 let id = line.field("endpoint");
@@ -106,7 +106,10 @@
 fn outage_starts_ms(sorted: &[&LogLine], start_ms: f64) -> Vec<f64> {
     let gaps = sorted.windows(2);
     let outages = gaps.filter(|gap| {
-        gap[1].text == "started" && gap[1].at_ms - gap[0].at_ms > OUTAGE_MIN_SILENCE_MS
+        gap[1].text == "started"
+            && gap[1].time_of_day_ms - gap[0].time_of_day_ms > OUTAGE_MIN_SILENCE_MS
     });
-    outages.map(|gap| gap[0].at_ms - start_ms).collect()
+    outages
+        .map(|gap| gap[0].time_of_day_ms - start_ms)
+        .collect()
 }
--- a/src/account/mod.rs
+++ b/src/account/mod.rs
@@ -54,7 +54,7 @@
     /// assert!(account.outcomes[0].lost_units > 0.0);
     /// ```
     pub fn from_lines(lines: Vec<LogLine>) -> Self {
-        let start_ms = lines.iter().map(|line| line.at_ms);
+        let start_ms = lines.iter().map(|line| line.time_of_day_ms);
         let start_ms = start_ms.fold(f64::INFINITY, f64::min);
         let hosts = Hosts::from_lines(&lines);
         let kinds = outcome::kinds_by_route(&lines);
@@ -65,12 +65,12 @@
             .into_iter()
             .filter(|line| !line.request_id().is_empty());
         let traces = RequestTrace::group_by_request(request_lines.collect());
-        let outcomes_of_all: Vec<Outcome> = traces
+        let all_outcomes: Vec<Outcome> = traces
             .iter()
             .filter_map(|trace| Outcome::from_trace(trace, &kinds, &hosts.zones, start_ms))
             .collect();
-        let total = outcomes_of_all.len();
-        let mut outcomes: Vec<Outcome> = outcomes_of_all
+        let total = all_outcomes.len();
+        let mut outcomes: Vec<Outcome> = all_outcomes
             .into_iter()
             .filter(|outcome| outcome.is_eligible)
             .collect();
--- a/src/account/outcome.rs
+++ b/src/account/outcome.rs
@@ -132,7 +132,7 @@
     pub fn end_class(&self) -> EndClass {
         match &self.cause {
             Cause::OnTime => EndClass::OnTime,
-            Cause::Other(how) if how.starts_with("refused") && !may_have_run(how) => {
+            Cause::Other(end) if end.starts_with("refused") && !may_have_run(end) => {
                 EndClass::Refused
             }
             Cause::Other(_) | Cause::ClientLeftDuringSilence => EndClass::Failed,
@@ -149,19 +149,19 @@
 }
 
 /// Whether a request that ended with this error may have run.
-fn may_have_run(how: &str) -> bool {
+fn may_have_run(end: &str) -> bool {
     ["unknown", "timeout_running"]
         .iter()
-        .any(|fault| how.ends_with(fault))
+        .any(|fault| end.ends_with(fault))
 }
 
 /// Arrival time of a request by its host's clock, in milliseconds since midnight.
 fn arrival_ms(trace: &RequestTrace, end_line: &LogLine) -> f64 {
-    let first = trace
+    let first_line_ms = trace
         .lines
         .first()
-        .map_or(end_line.at_ms, |line| line.at_ms);
-    first.min(end_line.at_ms - end_line.number("total_ms"))
+        .map_or(end_line.time_of_day_ms, |line| line.time_of_day_ms);
+    first_line_ms.min(end_line.time_of_day_ms - end_line.number("total_ms"))
 }
 
 /// Cause of an answered request that has no stream.
--- a/src/account/plot.rs
+++ b/src/account/plot.rs
@@ -24,9 +24,9 @@
 fn loss_by_kind(account: &Account) -> LossByKind {
     let mut loss_by_kind = LossByKind::new();
     for outcome in &account.outcomes {
-        let of_kind = loss_by_kind.entry(outcome.kind.clone()).or_default();
+        let by_second = loss_by_kind.entry(outcome.kind.clone()).or_default();
         let second = outcome.arrived_s.max(0.0) as u64;
-        let (lost, units) = of_kind.entry(second).or_default();
+        let (lost, units) = by_second.entry(second).or_default();
         *lost += outcome.lost_units;
         *units += outcome.units;
     }
--- a/src/account/refusals.rs
+++ b/src/account/refusals.rs
@@ -36,22 +36,22 @@
         let mut refusals = Self::default();
         let mut refused: Vec<&LogLine> =
             lines.iter().filter(|line| is_help_refusal(line)).collect();
-        refused.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
+        refused.sort_by(|a, b| a.time_of_day_ms.total_cmp(&b.time_of_day_ms));
         for line in refused {
-            refusals.add(line, (line.at_ms - start_ms) / 1e3);
+            refusals.add(line, (line.time_of_day_ms - start_ms) / 1e3);
         }
         refusals
     }
 
     fn add(&mut self, line: &LogLine, at_s: f64) {
-        let of_endpoint = self.by_endpoint.entry(line.field("at_fault")).or_default();
-        if of_endpoint.count == 0 {
-            of_endpoint.first_s = at_s;
+        let endpoint_refusals = self.by_endpoint.entry(line.field("at_fault")).or_default();
+        if endpoint_refusals.count == 0 {
+            endpoint_refusals.first_s = at_s;
         }
-        of_endpoint.count += 1;
-        of_endpoint.last_s = at_s;
-        if !of_endpoint.hosts.insert(line.source.clone()) {
-            of_endpoint.repeats += 1;
+        endpoint_refusals.count += 1;
+        endpoint_refusals.last_s = at_s;
+        if !endpoint_refusals.hosts.insert(line.source.clone()) {
+            endpoint_refusals.repeats += 1;
         }
         let dispatch = line.number("dispatch") as u64;
         *self.by_dispatch.entry(dispatch).or_default() += 1;
@@ -60,13 +60,16 @@
 
     /// Total number of refused dispatches.
     pub fn count(&self) -> usize {
-        self.by_endpoint.values().map(|one| one.count).sum()
+        self.by_endpoint
+            .values()
+            .map(|endpoint| endpoint.count)
+            .sum()
     }
 
     /// Endpoints in descending order of their refusals.
     pub fn by_count(&self) -> Vec<(&String, &EndpointRefusals)> {
         let mut all: Vec<_> = self.by_endpoint.iter().collect();
-        all.sort_by_key(|(name, one)| (std::cmp::Reverse(one.count), *name));
+        all.sort_by_key(|(name, endpoint)| (std::cmp::Reverse(endpoint.count), *name));
         all
     }
 }
--- a/src/demo/client.rs
+++ b/src/demo/client.rs
@@ -92,7 +92,7 @@
 /// Sends a request and reads its answer to the end. Transport errors become [`EndState::Lost`].
 pub fn send(request: &Request) -> Outcome {
     let started_at = Instant::now();
-    let mut builder = with_credentials(attohttpc::post(&request.url), request)
+    let mut builder = with_key_and_timeout(attohttpc::post(&request.url), request)
         .header("Content-Type", "application/json")
         .header("Request-Kind", &request.kind)
         .header("Request-Timeout-Ms", request.allotted_ms)
@@ -112,7 +112,7 @@
     }
 }
 
-fn with_credentials<B>(builder: RequestBuilder<B>, request: &Request) -> RequestBuilder<B> {
+fn with_key_and_timeout<B>(builder: RequestBuilder<B>, request: &Request) -> RequestBuilder<B> {
     let timeout = Duration::from_millis(request.allotted_ms + CALLER_GRACE_MS);
     builder
         .header("Authorization", format!("Bearer {}", request.bearer_key))
@@ -159,7 +159,7 @@
     let url = format!("{}{path}", request.result_base_url);
     let give_up_at = Instant::now() + Duration::from_millis(request.allotted_ms + CALLER_GRACE_MS);
     while Instant::now() < give_up_at {
-        let response = with_credentials(attohttpc::get(&url), request).send();
+        let response = with_key_and_timeout(attohttpc::get(&url), request).send();
         let response = response.map_err(io::Error::other)?;
         match response.status().as_u16() {
             STATUS_ACCEPTED | STATUS_UNAVAILABLE => thread::sleep(RESULT_POLL_INTERVAL),
--- a/src/demo/fleet.rs
+++ b/src/demo/fleet.rs
@@ -42,7 +42,7 @@
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Settings of the fleet.
+/// Options of the fleet.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Listen addresses of the gateways; port 0 selects a free port.
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -17,7 +17,7 @@
 use progress::Progress;
 use report::Summary;
 
-/// Settings of the demonstration.
+/// Options of the demonstration.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
     /// Options of the processes.
--- a/src/demo/plan.rs
+++ b/src/demo/plan.rs
@@ -118,7 +118,7 @@
 const BASELINE_FIRST_NUMBER: u64 = 1 << 32;
 const SERVICE_KIND: usize = 1;
 
-/// Settings of the load.
+/// Options of the load.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Mean number of requests sent per second.
--- a/src/explain/explanation.rs
+++ b/src/explain/explanation.rs
@@ -155,11 +155,11 @@
             memory_refusal.number("engines_allowed"),
         );
     }
-    if let Some(refused) = trace.last_with_text("not placed") {
+    if let Some(refusal) = trace.last_with_text("not placed") {
         text += &format!(
             "; {} engines were usable, and the client was told to retry after {} ms",
-            refused.number("usable_engines"),
-            refused.number("retry_after_ms"),
+            refusal.number("usable_engines"),
+            refusal.number("retry_after_ms"),
         );
     }
     text + "; it has not run"
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
     /// Milliseconds since midnight, by the clock of the host that wrote it.
-    pub at_ms: f64,
+    pub time_of_day_ms: f64,
     /// Host that wrote it, or the file that it was read from.
     pub source: String,
     /// Message text, which identifies the kind of event.
@@ -73,7 +73,7 @@
         let json: JsonLine = serde_json::from_str(&text[json_start..]).ok()?;
         let prefix = text[..json_start].split_whitespace().last();
         Some(Self {
-            at_ms: parse_time_of_day_ms(&json.timestamp)?,
+            time_of_day_ms: parse_time_of_day_ms(&json.timestamp)?,
             source: prefix.unwrap_or(file).to_string(),
             text: json.text,
             fields: json.kv,
@@ -120,7 +120,7 @@
 impl RequestTrace {
     /// Sorts the lines of one request by time.
     pub fn from_lines(mut lines: Vec<LogLine>) -> Self {
-        lines.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
+        lines.sort_by(|a, b| a.time_of_day_ms.total_cmp(&b.time_of_day_ms));
         Self { lines }
     }
 
@@ -153,9 +153,9 @@
 
 impl Display for RequestTrace {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
-        let start_ms = self.lines.first().map_or(0.0, |line| line.at_ms);
+        let start_ms = self.lines.first().map_or(0.0, |line| line.time_of_day_ms);
         for line in &self.lines {
-            let after_ms = line.at_ms - start_ms;
+            let after_ms = line.time_of_day_ms - start_ms;
             write!(f, "{after_ms:>9.1} ms  {}  {}:", line.source, line.text)?;
             for (name, value) in printed_fields(&line.fields) {
                 write!(f, " {name}={value}")?;
--- a/src/explain/summary.rs
+++ b/src/explain/summary.rs
@@ -47,7 +47,7 @@
             Self::LateAnswer => "answered late",
             Self::LongPause => "a pause too long",
             Self::ClientLeftDuringSilence => "its client left while its endpoint wrote nothing",
-            Self::Other(how) => how,
+            Self::Other(end) => end,
         };
         f.write_str(text)
     }
@@ -61,11 +61,11 @@
         }
         let ended = trace.last_with_text("request ended")?;
         let detail = ended.field("detail");
-        let how = match detail.is_empty() {
+        let end = match detail.is_empty() {
             true => ended.field("outcome"),
             false => format!("{}: {detail}", ended.field("outcome")),
         };
-        Some(Self::Other(how))
+        Some(Self::Other(end))
     }
 
     fn of_ended_stream(trace: &RequestTrace, ended: &LogLine) -> Self {
