--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -12,11 +12,11 @@
 use clap::Command;
 
 use crate::error::Error;
-use crate::explain::cause::cause;
-use crate::explain::sizes::Sizes;
+use crate::explain::explanation::describe;
+use crate::explain::sizes::SizeReport;
 use crate::explain::summary::Summary;
-use crate::explain::Line;
-use crate::explain::Story;
+use crate::explain::LogLine;
+use crate::explain::RequestTrace;
 
 const REQUEST_ID: &str = "request-id";
 pub(super) const LOGS: &str = "logs";
@@ -78,18 +78,22 @@
     if matches.get_flag(ALL) || matches.get_flag(SIZES) {
         // No identifier is given here, so the first positional argument is a log file.
         files.splice(0..0, first_argument);
-        let lines = read_logs(&files, &|text, file| Line::of_any(text, file))?;
+        let lines = read_logs(&files, &|text, file| {
+            LogLine::parse_request_line(text, file)
+        })?;
         let printed = match matches.get_flag(ALL) {
-            true => write!(out, "{}", Summary::of(lines)),
-            false => write!(out, "{}", Sizes::of(lines)),
+            true => write!(out, "{}", Summary::from_lines(lines)),
+            false => write!(out, "{}", SizeReport::from_lines(lines)),
         };
         return printed.map_err(|error| io_error("standard output", &error));
     }
     let request_id = first_argument.expect("BUG: clap requires it");
-    let lines = read_logs(&files, &|text, file| Line::read(text, request_id, file))?;
-    let story = Story::of(lines);
-    let is_found = !story.lines.is_empty();
-    let printed = writeln!(out, "{story}{}", cause(&story));
+    let lines = read_logs(&files, &|text, file| {
+        LogLine::parse_for_request(text, request_id, file)
+    })?;
+    let trace = RequestTrace::from_lines(lines);
+    let is_found = !trace.lines.is_empty();
+    let printed = writeln!(out, "{trace}{}", describe(&trace));
     printed.map_err(|error| io_error("standard output", &error))?;
     match is_found {
         true => Ok(()),
@@ -98,9 +102,9 @@
 }
 
 /// Parses a line of the file whose name is the second argument; `None` for lines to skip.
-pub(super) type LineParser<'a> = &'a dyn Fn(&str, &str) -> Option<Line>;
+pub(super) type LineParser<'a> = &'a dyn Fn(&str, &str) -> Option<LogLine>;
 
-pub(super) fn read_logs(files: &[&String], parser: LineParser<'_>) -> Result<Vec<Line>, Error> {
+pub(super) fn read_logs(files: &[&String], parser: LineParser<'_>) -> Result<Vec<LogLine>, Error> {
     let mut lines = Vec::new();
     for file in files {
         let opened = File::open(file).map_err(|error| io_error(file, &error))?;
@@ -116,7 +120,7 @@
     log: impl BufRead,
     parser: LineParser<'_>,
     file: &str,
-    lines: &mut Vec<Line>,
+    lines: &mut Vec<LogLine>,
 ) -> Result<(), Error> {
     // Invalid UTF-8, such as from a truncated line, affects only its own line.
     for line in log.split(b'\n') {
