--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -1,62 +1,63 @@
-//! What endpoints ask in their answers, and what is sent to them for it.
+//! Backpressure: what endpoints ask for in their responses, and which of them may be sent requests.
 //!
-//! What may be sent where is asked twice: when endpoints are chosen, and right before a request is sent, since it may
-//! have waited between.
+//! This is checked twice, when endpoints are chosen and right before a request is sent, since the
+//! request may have waited in between.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use http::response;
+use mgs_backpressure::peer_update::LimitUpdate;
+use mgs_backpressure::peer_update::PeerUpdate;
 use mgs_backpressure::share::Gateways;
-use mgs_backpressure::table::Life;
-use mgs_backpressure::table::News;
-use mgs_backpressure::table::Reason;
-use mgs_backpressure::table::Shut;
-use mgs_backpressure::told::Told;
-use mgs_backpressure::told::Word;
+use mgs_backpressure::table::AdviceChange;
+use mgs_backpressure::table::BlockReason;
+use mgs_backpressure::table::Blocked;
+use mgs_backpressure::table::IncarnationHash;
 use mgs_fleet::view::EndpointKey;
-use mgs_placing::share::AdviceAt;
-use mgs_placing::share::Beacon;
-use mgs_placing::share::LimitWord;
+use mgs_placing::peer_message::AdviceAt;
+use mgs_placing::peer_message::LimitStatement;
+use mgs_placing::peer_message::PeerMessage;
 
 use crate::core::Core;
-use crate::dialect::Ask;
+use crate::dialect::ClientRequest;
 use crate::drain::Phase;
 use crate::fault::Fault;
 use crate::fault::Refusal;
-use crate::peers::ON_THE_WAY_MS;
+use crate::peers::TRANSIT_MS;
 use crate::place::RETRY_AFTER_NO_ENDPOINT_MS;
 use crate::view::Endpoint;
 use crate::wait::RETRY_AFTER_MAX_MS;
 use crate::wait::RETRY_AFTER_MIN_MS;
 
-/// Endpoints that may not be sent a request now.
+/// Endpoints that may not be sent a request now, because they leave, asked for a rest or reached a
+/// limit.
 #[derive(Debug, Default)]
-pub(crate) struct ShutEndpoints(HashMap<EndpointKey, Shut>);
+pub(crate) struct ShutEndpoints(HashMap<EndpointKey, Blocked>);
 
 impl ShutEndpoints {
-    /// Whether it may get no request of its own.
+    /// Whether the endpoint may get no request of its own.
     pub(crate) fn contains(&self, endpoint: &Endpoint) -> bool {
         self.0.contains_key(&endpoint.key)
     }
 
-    /// Whether nothing at all may be asked of it, not even to help.
+    /// Whether the endpoint may get nothing at all, not even a request to help.
     pub(crate) fn bars_help(&self, endpoint: &Endpoint) -> bool {
         let shut = self.0.get(&endpoint.key);
-        shut.is_some_and(|shut| shut.reason.bars_help())
+        shut.is_some_and(|shut| shut.reason.blocks_helpers())
     }
 
-    /// The refusal of a request for these endpoints, all of which are shut: its client may come back when the first opens, or
-    /// sooner, since another gateway may have been asked for no rest.
+    /// Builds the refusal of a request whose endpoints are all shut. The client may retry when the
+    /// first of them opens, or sooner, since the rest may have been asked of this gateway only.
     pub(crate) fn refusal<'a>(
         &self,
         endpoints: impl IntoIterator<Item = &'a Arc<Endpoint>>,
         request_id: &str,
     ) -> Refusal {
         let shuts = endpoints.into_iter().filter_map(|e| self.0.get(&e.key));
-        let shuts: Vec<&Shut> = shuts.collect();
-        let count = |reason: Reason| shuts.iter().filter(|shut| shut.reason == reason).count();
-        let opens_in_ms = shuts.iter().map(|shut| shut.opens_in_ms);
+        let shuts: Vec<&Blocked> = shuts.collect();
+        let count = |reason: BlockReason| shuts.iter().filter(|shut| shut.reason == reason).count();
+        let opens_in_ms = shuts.iter().map(|shut| shut.blocked_for_ms);
         let opens_in_ms = opens_in_ms.fold(f64::INFINITY, f64::min);
         let retry_after_ms = match opens_in_ms.is_finite() {
             true => (opens_in_ms as u64).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS),
@@ -64,9 +65,9 @@
         };
         log::info!(
             request_id = request_id,
-            leaving = count(Reason::Leaving),
-            resting = count(Reason::Rest),
-            limited = count(Reason::Limit),
+            leaving = count(BlockReason::Leaving),
+            resting = count(BlockReason::Backoff),
+            limited = count(BlockReason::Limit),
             retry_after_ms = retry_after_ms;
             "all endpoints are shut"
         );
@@ -75,35 +76,40 @@
 }
 
 impl Core {
-    /// Takes what an answer to a request that was sent at `sent_ms` says of the endpoint that gave it.
+    /// Takes the advice in a response to a request that was sent at `sent_ms`.
     pub(crate) fn hear_advice(
         &self,
         endpoint: &Endpoint,
-        ask: &Ask,
+        client_request: &ClientRequest,
         head: &response::Parts,
         sent_ms: f64,
     ) {
-        let advice = self.dialect.advice(ask, head);
+        let advice = self.dialect.advice(client_request, head);
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
-        let news = table.hear(life(endpoint), advice, sent_ms, now_ms);
+        let news = table.apply_advice(life(endpoint), advice, sent_ms, now_ms);
         drop(table);
         for news in news {
             self.board_changed.notify_one();
-            self.note_news(endpoint, ask, news);
+            self.record_advice(endpoint, client_request, news);
         }
     }
 
-    fn note_news(&self, endpoint: &Endpoint, ask: &Ask, news: News) {
+    fn record_advice(
+        &self,
+        endpoint: &Endpoint,
+        client_request: &ClientRequest,
+        news: AdviceChange,
+    ) {
         self.metrics.advice.inc(news.name());
         let (limit_per_s, rest_ms) = match news {
-            News::Limited(per_s) => (per_s, 0.0),
-            News::WantsRest(rest_ms) => (0.0, rest_ms),
+            AdviceChange::Limited(per_s) => (per_s, 0.0),
+            AdviceChange::BackoffRequested(rest_ms) => (0.0, rest_ms),
             _ => (0.0, 0.0),
         };
         log::info!(
             endpoint = endpoint.facts.incarnation.id,
-            request_id = ask.request_id,
+            request_id = client_request.request_id,
             news = news.name(),
             limit_per_s = limit_per_s,
             rest_ms = rest_ms;
@@ -116,14 +122,14 @@
         if self.backpressure.borrow().is_empty() {
             return ShutEndpoints::default();
         }
-        let by_hash = self.published.endpoint_hashes();
-        let shut = self.backpressure.borrow_mut().shut(self.now_ms());
-        let keyed = |(life, shut): (Life, Shut)| Some((*by_hash.get(&life.0)?, shut));
+        let by_hash = self.published.endpoint_keys_by_hash();
+        let shut = self.backpressure.borrow_mut().blocked(self.now_ms());
+        let keyed = |(life, shut): (IncarnationHash, Blocked)| Some((*by_hash.get(&life.0)?, shut));
         ShutEndpoints(shut.into_iter().filter_map(keyed).collect())
     }
 
-    /// Permits a request to an endpoint right before it is sent, and counts it.
-    pub(crate) fn permit_dispatch(&self, endpoint: &Endpoint) -> Result<(), Shut> {
+    /// Checks right before a dispatch whether the endpoint may get it, and counts it.
+    pub(crate) fn permit_dispatch(&self, endpoint: &Endpoint) -> Result<(), Blocked> {
         let mut table = self.backpressure.borrow_mut();
         if table.is_empty() {
             return Ok(());
@@ -132,57 +138,61 @@
             Ok(true) => self.board_changed.notify_one(),
             Ok(false) => {}
             Err(shut) => {
-                self.metrics.shut.inc(shut.reason.name());
+                self.metrics.shut_before_dispatch.inc(shut.reason.name());
                 return Err(shut);
             }
         }
         Ok(())
     }
 
-    /// What the clock that gateways share shows, in milliseconds.
+    /// Time on the clock that the gateways share, in milliseconds.
     pub(crate) fn shared_clock_ms(&self) -> u64 {
         let now_ms = self.now_ms();
         self.backpressure.borrow().clock_ms(now_ms) as u64
     }
 
-    /// What peers are to be told of endpoints.
+    /// Advice about endpoints to send to peers.
     pub(crate) fn advice_to_tell(&self, is_whole: bool) -> Vec<AdviceAt> {
         let now_ms = self.now_ms();
-        let told = self.backpressure.borrow_mut().take_told(is_whole, now_ms);
-        let word_at = |word: Word| LimitWord {
+        let told = self
+            .backpressure
+            .borrow_mut()
+            .take_peer_updates(is_whole, now_ms);
+        let word_at = |word: LimitUpdate| LimitStatement {
             per_s_thousandths: word.per_s.map(|per_s| (per_s * 1e3) as u64),
             age_ms: (now_ms - word.at_ms).max(0.0) as u32,
         };
-        let advice_at = |(life, told): (Life, Told)| AdviceAt {
+        let advice_at = |(life, told): (IncarnationHash, PeerUpdate)| AdviceAt {
             endpoint: life.0,
-            word: told.word.map(word_at),
-            sent: told.sent,
-            leaves: told.leaves,
+            word: told.limit.map(word_at),
+            sent: told.sent_requests,
+            leaves: told.is_leaving,
         };
         told.into_iter().map(advice_at).collect()
     }
 
-    /// Takes what a peer says of endpoints.
-    pub(crate) fn hear_peer_advice(&self, beacon: &Beacon) {
+    /// Takes the advice about endpoints in a peer's message.
+    pub(crate) fn hear_peer_advice(&self, beacon: &PeerMessage) {
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
-        table.hear_clock(beacon.clock_ms as f64, now_ms);
+        table.observe_peer_clock(beacon.clock_ms as f64, now_ms);
         for said in &beacon.advice {
-            let told = Told {
-                word: said.word.map(|word| heard_word(&word, now_ms)),
-                sent: said.sent,
-                leaves: said.leaves,
+            let told = PeerUpdate {
+                limit: said.word.map(|word| word_from_peer(&word, now_ms)),
+                sent_requests: said.sent,
+                is_leaving: said.leaves,
             };
-            table.hear_peer(beacon.from, Life(said.endpoint), told, now_ms);
+            table.apply_peer_update(beacon.from, IncarnationHash(said.endpoint), told, now_ms);
         }
     }
 
-    /// Shares limits with these peers from now on, and forgets what isn't listed any more. A gateway that leaves takes no part.
+    /// Sets the peers that share the endpoints' limits and drops endpoints that are no longer
+    /// listed. A gateway that is leaving takes no share.
     pub(crate) fn share_limits(&self, staying: Vec<u64>) {
         let is_leaving = self.drain.phase() != Phase::Serving;
         let is_known = self.gateways_sharing().is_some() && !is_leaving;
-        let gateways = self.headcount.borrow().gateways();
-        let by_hash = self.published.endpoint_hashes();
+        let gateways = self.gateway_count.borrow().heard_gateways();
+        let by_hash = self.published.endpoint_keys_by_hash();
         let mut table = self.backpressure.borrow_mut();
         table.set_gateways(Gateways {
             own: self.incarnation,
@@ -193,26 +203,27 @@
     }
 }
 
-/// A peer's word of a limit, by this process's clock.
-fn heard_word(word: &LimitWord, now_ms: f64) -> Word {
+/// Converts a peer's report of a limit to this process's clock.
+fn word_from_peer(word: &LimitStatement, now_ms: f64) -> LimitUpdate {
     let per_s = word.per_s_thousandths.map(|per_s| per_s as f64 / 1e3);
-    // A limit that was heard while its end was on the way goes before that.
-    let on_the_way_ms = if per_s.is_none() { ON_THE_WAY_MS } else { 0 };
+    // A limit that was learned while its withdrawal was in transit takes precedence over the
+    // withdrawal.
+    let on_the_way_ms = if per_s.is_none() { TRANSIT_MS } else { 0 };
     let at_ms = now_ms - f64::from(word.age_ms) - on_the_way_ms as f64;
-    Word { per_s, at_ms }
+    LimitUpdate { per_s, at_ms }
 }
 
-/// A request was placed at an endpoint that has come to be shut meanwhile.
-pub(crate) fn note_shut(ask: &Ask, endpoint: &Endpoint, shut: Shut) {
+/// Logs that an endpoint was shut after a request had been placed there.
+pub(crate) fn log_shut(client_request: &ClientRequest, endpoint: &Endpoint, shut: Blocked) {
     log::info!(
-        request_id = ask.request_id,
+        request_id = client_request.request_id,
         endpoint = endpoint.facts.incarnation.id,
         reason = shut.reason.name(),
-        opens_in_ms = shut.opens_in_ms as u64;
+        opens_in_ms = shut.blocked_for_ms as u64;
         "an endpoint was shut before the dispatch"
     );
 }
 
-fn life(endpoint: &Endpoint) -> Life {
-    Life(endpoint.facts.incarnation.hash_64())
+fn life(endpoint: &Endpoint) -> IncarnationHash {
+    IncarnationHash(endpoint.facts.incarnation.hash_64())
 }
--- /dev/null
+++ b/crates/mgs-relay/src/broadcast.rs
@@ -0,0 +1,233 @@
+//! Sends this gateway's state to its peers: short messages with new work at once, at most one every
+//! few milliseconds, and a whole message with all that it holds a few times a second.
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use mgs_fleet::view::EndpointKey;
+use mgs_placing::load_table::EndpointLoad;
+use mgs_placing::peer_message::LoadAt;
+use mgs_placing::peer_message::PeerMessage;
+use mgs_placing::peer_message::PrefillAt;
+use mgs_placing::peer_message::RefusalAt;
+use mgs_placing::peer_message::TopicVersion;
+use tokio::net::UdpSocket;
+use tokio::time::sleep;
+use tokio::time::timeout_at;
+use tokio::time::Instant;
+
+use crate::core::Core;
+use crate::drain::Phase;
+use crate::freshness::Freshness;
+use crate::peers::Message;
+use crate::peers::PeerTable;
+use crate::traffic::TrafficKind;
+use crate::view::Fleet;
+
+/// Minimum time between two messages; what is placed meanwhile is sent together.
+pub(crate) const SEND_INTERVAL_MIN: Duration = Duration::from_millis(15);
+
+/// Time between two whole messages.
+const WHOLE_INTERVAL: Duration = Duration::from_millis(300);
+
+/// Maximum size of a message, in bytes. Larger datagrams would be fragmented, and the loss of one
+/// fragment loses them all.
+pub(crate) const MESSAGE_BYTES_MAX: usize = 1_400;
+
+/// Every so many whole messages, one is sent to all listed gateways, the others only to those heard
+/// recently.
+const WHOLE_TO_ALL_EVERY: u64 = 4;
+
+/// Sends messages to peers until the process ends.
+pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, peer_table: Rc<RefCell<PeerTable>>) {
+    let mut broadcaster = Broadcaster {
+        core,
+        socket,
+        peer_table,
+        sequence: 0,
+        whole_messages_sent: 0,
+    };
+    loop {
+        broadcaster.send_whole().await;
+        let whole_at = Instant::now() + WHOLE_INTERVAL;
+        sleep(SEND_INTERVAL_MIN).await;
+        while timeout_at(whole_at, broadcaster.core.board_changed.notified())
+            .await
+            .is_ok()
+        {
+            if broadcaster.core.whole_wanted.get() {
+                break;
+            }
+            broadcaster.send_short().await;
+            sleep(SEND_INTERVAL_MIN).await;
+        }
+    }
+}
+
+/// Builds and sends the messages.
+struct Broadcaster {
+    core: Rc<Core>,
+    socket: Rc<UdpSocket>,
+    peer_table: Rc<RefCell<PeerTable>>,
+    /// Sequence number of the last message.
+    sequence: u64,
+    /// Number of whole messages sent.
+    whole_messages_sent: u64,
+}
+
+impl Broadcaster {
+    /// Sends all that this gateway holds and what it knows of the store.
+    async fn send_whole(&mut self) {
+        let beacon = self.next_beacon(true);
+        let core = &self.core;
+        core.unreported_held.take();
+        core.whole_wanted.set(false);
+        let mut beacon = PeerMessage {
+            is_whole: true,
+            configuration: store_knowledge(core, core.published.configuration_freshness()),
+            endpoints: store_knowledge(core, core.published.endpoint_freshness()),
+            lengths: core.lengths.borrow().band_counts(core.now_ms()),
+            gateways: gateways_sharing(core),
+            ..beacon
+        };
+        let held = core.board.borrow().own_loads();
+        add_held(&mut beacon, &core.published.fleet(), held);
+        // Silent peers are sent a message about once a second.
+        let to_all = self.whole_messages_sent.is_multiple_of(WHOLE_TO_ALL_EVERY);
+        self.send(&encode_to_fit(beacon), to_all, TrafficKind::WholeMessages)
+            .await;
+        self.whole_messages_sent += 1;
+    }
+
+    /// Sends what this gateway has come to hold since the last message.
+    async fn send_short(&mut self) {
+        let mut beacon = self.next_beacon(false);
+        let held = self.core.unreported_held.take();
+        add_held(&mut beacon, &self.core.published.fleet(), held);
+        self.send(&encode_to_fit(beacon), false, TrafficKind::ShortMessages)
+            .await;
+    }
+
+    /// Starts a message with the fields that whole and short ones share.
+    fn next_beacon(&mut self, is_whole: bool) -> PeerMessage {
+        let core = &self.core;
+        self.sequence += 1;
+        let mut beacon = PeerMessage {
+            from: core.incarnation,
+            sequence: self.sequence,
+            leaving: core.drain.phase() != Phase::Serving,
+            zone: core.zone,
+            waiting: core.first_waiting(),
+            clock_ms: core.shared_clock_ms(),
+            advice: core.advice_to_tell(is_whole),
+            ..PeerMessage::default()
+        };
+        let fleet = core.published.fleet();
+        beacon.refusals = refusals(core, &fleet, is_whole);
+        for read in core.unreported_reads.take() {
+            if let Some(endpoint) = endpoint_hash(&fleet, read.endpoint) {
+                beacon.reads.push(PrefillAt {
+                    endpoint,
+                    read_ms: read.read_ms.round() as u16,
+                    reads: read.reads,
+                });
+            }
+        }
+        beacon
+    }
+
+    async fn send(&self, message: &[u8], to_all: bool, kind: TrafficKind) {
+        let core = &self.core;
+        let addresses = self
+            .peer_table
+            .borrow()
+            .recipients(core, core.now_ms(), to_all);
+        send_to(core, &self.socket, message, &addresses, kind).await;
+    }
+}
+
+/// Refusals to help that are to be reported: new ones, or all of them.
+fn refusals(core: &Core, fleet: &Fleet, is_all: bool) -> Vec<RefusalAt> {
+    let (now_ms, confirmed_ms) = (core.now_whole_ms(), core.fleet_confirmed_ms());
+    let refused = core
+        .helpers
+        .borrow_mut()
+        .take_reports(is_all, now_ms, confirmed_ms);
+    let refused_at = |(key, age_ms): (EndpointKey, u64)| {
+        Some(RefusalAt {
+            endpoint: endpoint_hash(fleet, key)?,
+            age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
+        })
+    };
+    refused.into_iter().filter_map(refused_at).collect()
+}
+
+/// Sends a message to peers. A failure is logged and counted but not retried; the peer gets the
+/// next message.
+pub(crate) async fn send_to(
+    core: &Core,
+    socket: &UdpSocket,
+    message: &[u8],
+    peers: &[SocketAddr],
+    kind: TrafficKind,
+) {
+    core.traffic.add(kind, message.len() * peers.len());
+    for peer in peers {
+        if let Err(error) = socket.send_to(message, peer).await {
+            core.metrics.peer_faults.inc();
+            log::debug!(peer:% = peer, error:% = error; "a message can't be sent to a peer");
+        }
+    }
+}
+
+fn add_held(beacon: &mut PeerMessage, fleet: &Fleet, held: Vec<(EndpointKey, EndpointLoad)>) {
+    for (key, held) in held {
+        if let Some(endpoint) = endpoint_hash(fleet, key) {
+            beacon.held.push(LoadAt { endpoint, held });
+        }
+    }
+}
+
+/// Encodes a message.
+pub(crate) fn encode(message: &Message) -> Vec<u8> {
+    bincode::serde::encode_to_vec(message, bincode::config::standard())
+        .expect("BUG: a message is plain data")
+}
+
+/// Encodes a message so that it fits a datagram.
+fn encode_to_fit(mut beacon: PeerMessage) -> Vec<u8> {
+    loop {
+        let message = Message::Beacon(Box::new(beacon));
+        let encoded = encode(&message);
+        let Message::Beacon(boxed) = message else {
+            unreachable!("the message was built as a beacon")
+        };
+        beacon = *boxed;
+        if encoded.len() <= MESSAGE_BYTES_MAX || beacon.held.is_empty() {
+            return encoded;
+        }
+        // The last endpoints are left out; peers see them as less loaded until a later message.
+        let kept = beacon.held.len() * 3 / 4;
+        beacon.held.truncate(kept);
+        beacon.reads.truncate(kept.max(1));
+    }
+}
+
+fn gateways_sharing(core: &Core) -> Option<u32> {
+    u32::try_from(core.gateways_sharing()?).ok()
+}
+
+fn store_knowledge(core: &Core, freshness: &Freshness) -> Option<TopicVersion> {
+    let age_ms = freshness.age_ms(core.now_whole_ms())?;
+    Some(TopicVersion {
+        content: freshness.content_id(),
+        age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
+    })
+}
+
+fn endpoint_hash(fleet: &Fleet, key: EndpointKey) -> Option<u64> {
+    let endpoint = fleet.by_key.get(&key)?;
+    Some(endpoint.facts.incarnation.hash_64())
+}
--- a/crates/mgs-relay/src/readiness.rs
+++ b/crates/mgs-relay/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the balancer's question whether this host takes connections.
+//! Answers the load balancer's readiness checks.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -15,26 +15,28 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-use crate::connect::describe;
+use crate::connection::describe;
 use crate::core::Core;
 use crate::drain::Phase;
 
-/// Takes the balancer's connections until the process ends.
+/// Accepts connections of the balancer until the process ends.
 pub(crate) async fn accept(core: Rc<Core>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(converse(core.clone(), stream));
+                tokio::task::spawn_local(handle_connection(core.clone(), stream));
+            }
+            Err(error) => {
+                log::warn!(error:% = error; "the balancer's connection can't be accepted")
             }
-            Err(error) => log::warn!(error:% = error; "the balancer can't be answered"),
         }
     }
 }
 
-async fn converse(core: Rc<Core>, stream: TcpStream) {
+async fn handle_connection(core: Rc<Core>, stream: TcpStream) {
     let service = service_fn(move |request| {
-        let answer = answer(&core, &request);
-        async move { Ok::<_, Infallible>(answer) }
+        let response = respond(&core, &request);
+        async move { Ok::<_, Infallible>(response) }
     });
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
@@ -42,7 +44,7 @@
     }
 }
 
-fn answer(core: &Core, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn respond(core: &Core, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let status = if request.uri().path() != core.dialect.ready_path() {
         StatusCode::NOT_FOUND
     } else if is_ready(core) {
@@ -50,12 +52,13 @@
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    let mut answer = Response::new(Full::new(Bytes::new()));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(Full::new(Bytes::new()));
+    *response.status_mut() = status;
+    response
 }
 
-/// Whether this host should get connections.
+/// Whether this host should receive connections: it isn't shutting down, and it knows what serving
+/// needs.
 pub(crate) fn is_ready(core: &Core) -> bool {
     core.drain.phase() == Phase::Serving && core.published.is_complete()
 }
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -1,4 +1,5 @@
-//! The relay: sockets, the one thread, and its end.
+//! Starts a relay: binds its sockets, runs its tasks on the calling thread and drains them at
+//! shutdown.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -11,15 +12,15 @@
 use std::sync::Arc;
 
 use displaydoc::Display;
-use mgs_backpressure::table::Table;
-use mgs_placing::board::Board;
-use mgs_placing::board::ZoneKey;
-use mgs_placing::lengths::Lengths;
+use mgs_backpressure::table::Backpressure;
+use mgs_placing::dispatch;
+use mgs_placing::length_counts::LengthCounter;
+use mgs_placing::load_table::LoadTable;
+use mgs_placing::load_table::ZoneKey;
 use mgs_placing::options;
-use mgs_placing::spare::Spare;
-use mgs_placing::turn;
+use mgs_placing::spare_slots::SpareSlotRate;
 use mgs_routing::outlier;
-use mgs_routing::outlier::Outliers;
+use mgs_routing::outlier::OutlierDetector;
 use rand::rngs::SysRng;
 use rand::SeedableRng;
 use rand::TryRng;
@@ -30,52 +31,53 @@
 use tokio::task::LocalSet;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::budget::Budget;
+use crate::budget::RetryBudget;
 use crate::client;
 use crate::core::Core;
-use crate::crash::Looks;
 use crate::dialect::Dialect;
 use crate::drain::Drain;
-use crate::handover;
-use crate::headcount::Headcount;
-use crate::helpers::Helpers;
+use crate::gateway_count::GatewayCount;
 use crate::metrics::Metrics;
+use crate::peer_snapshot;
 use crate::peers;
 use crate::quarantine;
-use crate::quarantine::Crashes;
+use crate::quarantine::CrashTracker;
 use crate::readiness;
 use crate::traffic;
 use crate::traffic::Traffic;
 use crate::view::Published;
 
 pub use crate::budget::Options as BudgetOptions;
+use crate::helper_refusals::HelperRefusals;
+use crate::lost_run::EndpointProbes;
 
 /// Settings of a relay.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
     /// Availability zone of this host.
     pub zone: String,
-    /// Where clients connect.
+    /// Address on which client connections are accepted.
     pub client_listen: SocketAddr,
-    /// Where the balancer asks whether this host takes connections.
+    /// Address on which the load balancer's readiness checks are answered.
     pub ready_listen: SocketAddr,
-    /// Where peers send their messages.
+    /// Address on which messages of peers are received: datagrams over UDP, snapshot requests over
+    /// TCP.
     pub peer_listen: SocketAddr,
-    /// Longest wait for a connection to an endpoint, in milliseconds. A lost first packet is sent again
-    /// after a second; asking another endpoint is sooner.
+    /// Timeout for connecting to an endpoint, in milliseconds. TCP retransmits a lost SYN only
+    /// after one second; trying another endpoint is faster.
     pub connect_timeout_ms: u64,
-    /// Placing of prompts.
-    pub placing: options::Options,
-    /// Order among long prompts.
-    pub turns: turn::Options,
-    /// Endpoints that are passed over.
+    /// Placement of prompts on engines.
+    pub placing: options::PlacementOptions,
+    /// Order in which long prompts are sent.
+    pub turns: dispatch::DispatchOptions,
+    /// Detection of failing endpoints, which are then skipped for a while.
     pub outliers: outlier::Options,
-    /// Requests that crash endpoints.
+    /// Quarantine of requests that crash endpoints.
     pub quarantine: mgs_quarantine::options::Options,
-    /// Limits that endpoints name.
+    /// Rate limits that endpoints announce.
     pub backpressure: mgs_backpressure::options::Options,
-    /// Where the numbers by which gateways choose differently begin; a new one each time if it isn't set. Two gateways
-    /// with the same seed choose the same engines.
+    /// Seed of the random generator used for placement; drawn afresh at each start if `None`. Two
+    /// gateways with the same seed choose the same engines.
     pub random_seed: Option<u64>,
 }
 
@@ -88,12 +90,12 @@
             ready_listen: any_port,
             peer_listen: any_port,
             connect_timeout_ms: 300,
-            placing: options::Options::default(),
-            turns: turn::Options::default(),
+            placing: options::PlacementOptions::default(),
+            turns: dispatch::DispatchOptions::default(),
             outliers: outlier::Options {
-                // An endpoint that went dark answers nothing; each request that finds out costs its
-                // client the time to connect elsewhere.
-                failures: 2,
+                // An unreachable endpoint never answers, and each request that finds this out costs
+                // its client the time to connect elsewhere.
+                consecutive_failures: 2,
                 ejection_ms: 1_000,
                 ejection_max_ms: 8_000,
                 ..outlier::Options::default()
@@ -105,42 +107,43 @@
     }
 }
 
-/// Why a relay can't start.
+/// Errors that prevent a relay from starting.
 #[derive(Debug, Display)]
 pub enum Error {
     /// can't listen on {address} for {purpose}: {source}
     Listen {
-        /// The address.
+        /// The address that couldn't be bound.
         address: SocketAddr,
-        /// For whom.
+        /// What the socket is for.
         purpose: &'static str,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// the system has no threads, timers or random numbers to give: {0}
+    /// can't create the runtime or read system random numbers: {0}
     System(String),
 }
 
 impl std::error::Error for Error {}
 
-/// What a relay tells the thread that started it.
+/// Local addresses of a started relay, with the ports that were bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
-    /// Where clients connect.
+    /// Address for client connections.
     pub client: SocketAddr,
-    /// Where the balancer asks.
+    /// Address for readiness checks.
     pub ready: SocketAddr,
-    /// Where peers send.
+    /// Address for peers.
     pub peer: SocketAddr,
 }
 
-/// Serves on this thread until `stop` resolves and what is open has ended.
+/// Runs a relay on the calling thread until `stop` resolves and open requests have ended or were
+/// cut off. Calls `on_started` once all sockets are bound.
 pub fn run(
     options: Options,
     dialect: Box<dyn Dialect>,
     published: Arc<Published>,
     metrics: Metrics,
-    started: impl FnOnce(Addresses),
+    on_started: impl FnOnce(Addresses),
     stop: impl Future<Output = ()> + 'static,
 ) -> Result<(), Error> {
     let runtime = Builder::new_current_thread()
@@ -148,15 +151,15 @@
         .enable_time()
         .build()
         .map_err(|error| Error::System(error.to_string()))?;
-    let core = core(options, dialect, published, metrics)?;
+    let core = new_core(options, dialect, published, metrics)?;
     let local = LocalSet::new();
-    let result = local.block_on(&runtime, serve(core, started, stop));
-    // Open sockets are closed by the end of the process; nobody waits for tasks that can't end.
+    let result = local.block_on(&runtime, serve(core, on_started, stop));
+    // The end of the process closes open sockets, so tasks that can't finish aren't waited for.
     runtime.shutdown_background();
     result
 }
 
-fn core(
+fn new_core(
     options: Options,
     dialect: Box<dyn Dialect>,
     published: Arc<Published>,
@@ -167,78 +170,79 @@
     Ok(Rc::new(Core {
         dialect,
         published,
-        board: RefCell::new(Board::new()),
-        fresh_reads: RefCell::new(Vec::new()),
-        fresh_held: RefCell::new(Vec::new()),
+        board: RefCell::new(LoadTable::new()),
+        unreported_reads: RefCell::new(Vec::new()),
+        unreported_held: RefCell::new(Vec::new()),
         whole_wanted: Cell::new(false),
         board_changed: Notify::new(),
         waiting_for_spare: RefCell::new(BTreeSet::new()),
-        spare: RefCell::new(Spare::default()),
-        lengths: RefCell::new(Lengths::default()),
+        spare: RefCell::new(SpareSlotRate::default()),
+        lengths: RefCell::new(LengthCounter::default()),
         waiting: RefCell::new(HashMap::new()),
-        outliers: Outliers::new(options.outliers),
-        helpers: RefCell::new(Helpers::default()),
-        backpressure: RefCell::new(Table::new(options.backpressure.clone())),
-        budget: RefCell::new(Budget::default()),
-        looks: RefCell::new(Looks::default()),
-        crashes: Crashes::new(options.quarantine.clone()),
+        outliers: OutlierDetector::new(options.outliers),
+        helpers: RefCell::new(HelperRefusals::default()),
+        backpressure: RefCell::new(Backpressure::new(options.backpressure.clone())),
+        budget: RefCell::new(RetryBudget::default()),
+        looks: RefCell::new(EndpointProbes::default()),
+        crashes: CrashTracker::new(options.quarantine.clone()),
         metrics,
         traffic: Traffic::default(),
         drain: Drain::new(),
-        headcount: RefCell::new(Headcount::default()),
+        gateway_count: RefCell::new(GatewayCount::default()),
         random: RefCell::new(ChaCha8Rng::seed_from_u64(
             options.random_seed.unwrap_or(incarnation),
         )),
-        last_number: Cell::new(0),
+        last_serial: Cell::new(0),
         zone: zone_key(&options.zone),
         incarnation,
         options,
     }))
 }
 
-/// Names an availability zone among gateways, whatever their order of names.
+/// Hashes the name of an availability zone, so that gateways agree on its key without a shared list
+/// of zones.
 fn zone_key(name: &str) -> ZoneKey {
     ZoneKey(xxh3_64(name.as_bytes()) as u32)
 }
 
 async fn serve(
     core: Rc<Core>,
-    started: impl FnOnce(Addresses),
+    on_started: impl FnOnce(Addresses),
     stop: impl Future<Output = ()>,
 ) -> Result<(), Error> {
     let options = &core.options;
-    let clients = listen(options.client_listen, "clients")?;
-    let balancer = listen(options.ready_listen, "the balancer")?;
-    let (peers, starting) = listen_for_peers(options.peer_listen).await?;
-    started(Addresses {
-        client: local_address(clients.local_addr(), options.client_listen),
-        ready: local_address(balancer.local_addr(), options.ready_listen),
-        peer: local_address(peers.local_addr(), options.peer_listen),
+    let client_listener = listen(options.client_listen, "clients")?;
+    let ready_listener = listen(options.ready_listen, "the balancer")?;
+    let (peer_socket, snapshot_listener) = listen_for_peers(options.peer_listen).await?;
+    on_started(Addresses {
+        client: local_address(client_listener.local_addr(), options.client_listen),
+        ready: local_address(ready_listener.local_addr(), options.ready_listen),
+        peer: local_address(peer_socket.local_addr(), options.peer_listen),
     });
-    tokio::task::spawn_local(client::accept(core.clone(), clients));
-    tokio::task::spawn_local(readiness::accept(core.clone(), balancer));
-    tokio::task::spawn_local(peers::run(core.clone(), peers));
-    tokio::task::spawn_local(traffic::tell(core.clone()));
+    tokio::task::spawn_local(client::accept(core.clone(), client_listener));
+    tokio::task::spawn_local(readiness::accept(core.clone(), ready_listener));
+    tokio::task::spawn_local(peers::run(core.clone(), peer_socket));
+    tokio::task::spawn_local(traffic::report(core.clone()));
     tokio::task::spawn_local(quarantine::watch(core.clone()));
     tokio::task::spawn_local(quarantine::follow_store(core.clone()));
     tokio::task::spawn_local(quarantine::rewrite(core.clone()));
-    tokio::task::spawn_local(handover::serve(core.clone(), starting));
+    tokio::task::spawn_local(peer_snapshot::serve(core.clone(), snapshot_listener));
     stop.await;
     log::info!(open_requests = core.drain.open_requests(); "leaving");
-    let drain = core.published.live().drain;
-    core.drain.leave(drain).await;
+    let drain = core.published.live_settings().drain;
+    core.drain.drain_requests(drain).await;
     log::info!(open_requests = core.drain.open_requests(); "left");
     Ok(())
 }
 
-/// Binds the two sockets of peers, datagrams and connections, to one port. Where any port will do, a number
-/// that is free for one of them may be taken for the other; then another is tried.
+/// Binds the UDP socket and the TCP listener for peers to the same port. If the system chooses the
+/// port, one that is free for UDP may be taken for TCP; then another is tried.
 async fn listen_for_peers(
     address: SocketAddr,
 ) -> Result<(UdpSocket, tokio::net::TcpListener), Error> {
-    const TRIES: usize = 20;
+    const ATTEMPTS_MAX: usize = 20;
     let mut last = None;
-    for _ in 0..TRIES {
+    for _ in 0..ATTEMPTS_MAX {
         let datagrams = UdpSocket::bind(address)
             .await
             .map_err(|source| Error::Listen {
@@ -256,8 +260,8 @@
     Err(last.expect("BUG: there was at least one try"))
 }
 
-fn local_address(known: io::Result<SocketAddr>, asked: SocketAddr) -> SocketAddr {
-    known.unwrap_or(asked)
+fn local_address(local: io::Result<SocketAddr>, requested: SocketAddr) -> SocketAddr {
+    local.unwrap_or(requested)
 }
 
 fn listen(address: SocketAddr, purpose: &'static str) -> Result<tokio::net::TcpListener, Error> {
--- a/crates/mgs-relay/src/traffic.rs
+++ b/crates/mgs-relay/src/traffic.rs
@@ -1,7 +1,7 @@
-//! The account of the bytes that a gateway carries, by what they are for.
+//! Accounts for the bytes that a gateway transfers, by purpose.
 //!
-//! Bytes between availability zones are paid for, and messages to peers grow with the square of the gateways, so an
-//! operator must see what makes them.
+//! Traffic between availability zones costs money, and the messages between gateways grow with the
+//! square of their number, so operators need to see what causes it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,29 +12,29 @@
 
 use crate::core::Core;
 
-/// Time between two lines of the log.
-const TOLD_EACH: Duration = Duration::from_secs(5);
+/// Time between two log lines.
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What bytes are for. Those of fields and of the transport aren't counted.
+/// What bytes are transferred for. Header fields and transport overhead aren't counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Carried {
-    /// Bodies from clients.
+pub(crate) enum TrafficKind {
+    /// Request bodies from clients.
     Requests,
-    /// Bodies to endpoints, each time they are sent.
+    /// Request bodies to endpoints, counted each time they are sent.
     Dispatches,
-    /// Bodies from endpoints.
+    /// Response bodies from endpoints.
     Answers,
-    /// Messages to peers of what was placed, for each peer.
+    /// Short messages to peers about new work, counted for each peer.
     ShortMessages,
-    /// Messages to peers of all that is held.
+    /// Whole messages to peers about all work held, counted for each peer.
     WholeMessages,
-    /// Messages to peers of requests that crash endpoints.
+    /// Messages to peers about requests that crash endpoints, counted for each peer.
     CrashMessages,
     /// Messages from peers.
-    Heard,
+    HeardMessages,
 }
 
-impl Carried {
+impl TrafficKind {
     const ALL: [Self; 7] = [
         Self::Requests,
         Self::Dispatches,
@@ -42,10 +42,10 @@
         Self::ShortMessages,
         Self::WholeMessages,
         Self::CrashMessages,
-        Self::Heard,
+        Self::HeardMessages,
     ];
 
-    /// Name in counters.
+    /// Label in counters.
     fn name(self) -> &'static str {
         match self {
             Self::Requests => "requests",
@@ -54,40 +54,40 @@
             Self::ShortMessages => "short_messages",
             Self::WholeMessages => "whole_messages",
             Self::CrashMessages => "crash_messages",
-            Self::Heard => "messages_heard",
+            Self::HeardMessages => "messages_heard",
         }
     }
 }
 
-/// Bytes carried since the last line.
+/// Bytes transferred since the last log line.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
-    fresh: [Cell<u64>; Carried::ALL.len()],
+    unreported: [Cell<u64>; TrafficKind::ALL.len()],
 }
 
 impl Traffic {
-    pub(crate) fn add(&self, carried: Carried, bytes: usize) {
-        let cell = &self.fresh[carried as usize];
+    pub(crate) fn add(&self, kind: TrafficKind, bytes: usize) {
+        let cell = &self.unreported[kind as usize];
         cell.set(cell.get() + bytes as u64);
     }
 
-    /// Takes what was carried into the counters, and answers it.
-    fn take(&self, counters: &Counters) -> [u64; Carried::ALL.len()] {
-        Carried::ALL.map(|carried| {
-            let bytes = self.fresh[carried as usize].take();
-            counters.inc_by(carried.name(), bytes);
+    /// Adds the bytes to the counters, and returns and resets them.
+    fn drain_into(&self, counters: &Counters) -> [u64; TrafficKind::ALL.len()] {
+        TrafficKind::ALL.map(|kind| {
+            let bytes = self.unreported[kind as usize].take();
+            counters.inc_by(kind.name(), bytes);
             bytes
         })
     }
 }
 
-/// Tells what was carried until the process ends.
-pub(crate) async fn tell(core: Rc<Core>) {
+/// Logs the bytes transferred, until the process ends.
+pub(crate) async fn report(core: Rc<Core>) {
     loop {
-        sleep(TOLD_EACH).await;
-        let taken = core.traffic.take(&core.metrics.bytes);
+        sleep(REPORT_INTERVAL).await;
+        let totals = core.traffic.drain_into(&core.metrics.bytes);
         let [requests, dispatches, answers, short_messages, whole_messages, crash_messages, messages_heard] =
-            taken;
+            totals;
         log::info!(
             requests = requests,
             dispatches = dispatches,
