--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,31 +1,31 @@
-//! A soak of `marigoldstage relay`: real processes, faults injected from outside them, and the promises
-//! checked over what clients and endpoints see.
+//! Soak test of `marigoldstage relay`: runs real processes, injects faults from outside, and checks the promises over
+//! what clients and endpoints observe.
 //!
-//! A few seeds run with the other tests. By hand, with any seeds, each of which says what it saw:
+//! A few seeds run with the other tests. Any others can be run by hand; each prints a line of counts:
 //!
 //! ```sh
 //! SOAK_SEEDS=1..50 cargo test --release --test soak -- --ignored --nocapture
 //! ```
 
-#[path = "soak/asked.rs"]
-mod asked;
-#[path = "soak/callers.rs"]
-mod callers;
+#[path = "soak/backpressure.rs"]
+mod backpressure;
 #[path = "soak/check.rs"]
 mod check;
+#[path = "soak/check_tests.rs"]
+mod check_tests;
+#[path = "soak/clients.rs"]
+mod clients;
 mod common;
+#[path = "soak/environment.rs"]
+mod environment;
 #[path = "soak/history.rs"]
 mod history;
 #[path = "soak/host.rs"]
 mod host;
 #[path = "soak/plan.rs"]
 mod plan;
-#[path = "soak/planted.rs"]
-mod planted;
 #[path = "../platform/tests/standin/mod.rs"]
 mod standin;
-#[path = "soak/world.rs"]
-mod world;
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -36,122 +36,126 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use callers::Callers;
-use callers::Record;
-use check::Seen;
+use check::Observations;
+use clients::Clients;
+use clients::Record;
+use environment::EndpointTraits;
+use environment::Environment;
 use plan::plan;
-use plan::plan_with_needs;
+use plan::plan_with_backpressure;
 use plan::plan_with_restarts;
 use plan::plan_with_rollbacks;
-use plan::Timed;
+use plan::TimedStep;
 use rstest::rstest;
-use world::Nature;
-use world::World;
 
-/// Runs of this process so far.
-static RUNS: AtomicUsize = AtomicUsize::new(0);
+/// Number of runs of this process so far.
+static RUN_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// Clients of a run.
-const CALLERS: u64 = 24;
+/// Number of clients of a run.
+const CLIENTS: u64 = 24;
 
-/// Time with faults, in milliseconds.
-const LENGTH_MS: u64 = 8_000;
+/// Time in which faults are injected, in milliseconds.
+const FAULT_PERIOD_MS: u64 = 8_000;
 
-/// Time without, at the end: changes are in force and endpoints taken back.
-const CALM: Duration = Duration::from_millis(6_000);
+/// Time without faults at the end of a run, in which changes come into force and endpoints into use again.
+const RECOVERY_PERIOD: Duration = Duration::from_millis(6_000);
 
-/// What is sent in the last part of the calm must be answered.
-const LAST: Duration = Duration::from_millis(1_500);
+/// Last part of the recovery period; requests sent in it must be answered.
+const FINAL_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Share of it that must.
-const LAST_SHARE: f64 = 0.97;
+/// Share of these requests that must be answered.
+const FINAL_ANSWERED_SHARE: f64 = 0.97;
 
-/// First of the four ports that gateways listen on, each on an address of its own. Runs of several processes
-/// have ports of their own.
+/// First of the four ports that gateways listen on, each on an IP address of its own. It depends on the PID, so that test
+/// processes can run at the same time.
 fn first_port() -> u16 {
     const FIRST: u16 = 20_000;
     const PROCESSES: u32 = 2_500;
     FIRST + 4 * (std::process::id() % PROCESSES) as u16
 }
 
-/// Gateways listen on fixed ports, so runs take turns.
-static TURN: Mutex<()> = Mutex::new(());
+/// Serialises the runs of this process, since gateways listen on fixed ports.
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-/// What came of a run.
+/// Result of a run.
 struct Outcome {
     records: Vec<Record>,
     violations: Vec<String>,
     folder: PathBuf,
 }
 
-/// What goes wrong in a run.
+/// Which faults a run injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Faults {
-    /// Anything but what stands below.
+enum Scenario {
+    /// The faults of [`plan`].
     Plain,
-    /// Besides, endpoints start again under their identifiers, and others spoil their entries.
+    /// Besides, endpoints restart under the same identifier, and other writers corrupt their rows.
     Restarts,
-    /// The same, while the store comes back from older copies.
+    /// The same as [`Self::Restarts`], while the store is restored from older copies.
     Rollbacks,
-    /// Anything but rollbacks, while endpoints say in their answers what they need.
-    Needs,
-    /// The same as [`Self::Rollbacks`], while one request ends each engine that runs it and is sent again and again.
-    Deadly,
+    /// The same as [`Self::Restarts`], while endpoints announce limits, draining and back-off in response headers.
+    Backpressure,
+    /// The same as [`Self::Rollbacks`], while a request that crashes each engine that runs it is sent again and again.
+    CrashingRequest,
 }
 
-impl Faults {
-    fn plan(self, seed: u64) -> Vec<Timed> {
+impl Scenario {
+    fn plan(self, seed: u64) -> Vec<TimedStep> {
         match self {
-            Self::Plain => plan(seed, LENGTH_MS),
-            Self::Restarts => plan_with_restarts(seed, LENGTH_MS),
-            Self::Needs => plan_with_needs(seed, LENGTH_MS),
-            Self::Rollbacks | Self::Deadly => plan_with_rollbacks(seed, LENGTH_MS),
+            Self::Plain => plan(seed, FAULT_PERIOD_MS),
+            Self::Restarts => plan_with_restarts(seed, FAULT_PERIOD_MS),
+            Self::Backpressure => plan_with_backpressure(seed, FAULT_PERIOD_MS),
+            Self::Rollbacks | Self::CrashingRequest => plan_with_rollbacks(seed, FAULT_PERIOD_MS),
         }
     }
 
-    fn nature(self) -> Nature {
-        Nature {
-            tells_starts: self != Self::Plain,
-            is_mortal: self == Self::Deadly,
+    fn endpoint_traits(self) -> EndpointTraits {
+        EndpointTraits {
+            reports_start_time: self != Self::Plain,
+            can_crash: self == Self::CrashingRequest,
         }
     }
 }
 
-fn run(seed: u64, faults: Faults) -> Outcome {
-    let turn = TURN.lock();
-    // Two tests may play the same seed: the folder of one isn't to be removed under the other.
-    let number = RUNS.fetch_add(1, Ordering::Relaxed);
-    let name = format!("soak-{}-{number}-{seed}", std::process::id());
-    let folder = std::env::temp_dir().join(name);
+fn run(seed: u64, scenario: Scenario) -> Outcome {
+    let run_lock = RUN_LOCK.lock();
+    // Two tests may run the same seed; a folder of its own keeps one from removing the other's files.
+    let number = RUN_COUNT.fetch_add(1, Ordering::Relaxed);
+    let folder_name = format!("soak-{}-{number}-{seed}", std::process::id());
+    let folder = std::env::temp_dir().join(folder_name);
     std::fs::create_dir_all(&folder).expect("a temporary folder");
-    let mut world = World::start(&folder, first_port(), faults.nature());
-    world.wait_for_all();
-    let mut callers = Callers::start(seed, CALLERS, &world.client_addresses());
-    if faults == Faults::Deadly {
-        callers.add_deadly(seed, &world.client_addresses());
+    let mut environment = Environment::start(&folder, first_port(), scenario.endpoint_traits());
+    environment.wait_for_gateways();
+    let mut clients = Clients::start(seed, CLIENTS, &environment.client_addresses());
+    if scenario == Scenario::CrashingRequest {
+        clients.add_crashing_client(seed, &environment.client_addresses());
     }
     let start = Instant::now();
-    for timed in faults.plan(seed) {
-        let due = start + Duration::from_millis(timed.at_ms);
-        tend_until(&mut world, due);
-        world.apply(&timed.step);
+    for timed_step in scenario.plan(seed) {
+        let due = start + Duration::from_millis(timed_step.at_ms);
+        supervise_until(&mut environment, due);
+        environment.apply(&timed_step.step);
     }
-    world.heal_all();
-    tend_until(&mut world, Instant::now() + CALM);
+    environment.repair_all();
+    supervise_until(&mut environment, Instant::now() + RECOVERY_PERIOD);
     let end = Instant::now();
-    let records = callers.stop();
-    let runs = world.runs();
-    let came = world.came();
-    let seen = Seen {
-        history: &world.history,
+    let records = clients.stop();
+    let runs = environment.runs();
+    let arrivals = environment.arrivals();
+    let observations = Observations {
+        history: &environment.history,
         records: &records,
-        came: &came,
+        arrivals: &arrivals,
         runs: &runs,
     };
-    let mut violations = seen.violations();
-    violations.extend(recovery(&records, end, world.version()));
-    drop(world);
-    drop(turn);
+    let mut violations = observations.violations();
+    violations.extend(check_recovery(
+        &records,
+        end,
+        environment.configuration_version(),
+    ));
+    drop(environment);
+    drop(run_lock);
     Outcome {
         records,
         violations,
@@ -159,38 +163,44 @@
     }
 }
 
-/// Waits, and starts engines again that were ended.
-fn tend_until(world: &mut World, due: Instant) {
-    const LOOK: Duration = Duration::from_millis(10);
+/// Waits until `due`; meanwhile replaces crashed engines and repeats writes that the store has lost.
+fn supervise_until(environment: &mut Environment, due: Instant) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(10);
     while Instant::now() < due {
-        world.tend_crashed();
-        world.write_again();
-        thread::sleep(LOOK.min(due.saturating_duration_since(Instant::now())));
+        environment.replace_crashed_engines();
+        environment.rewrite_lost_writes();
+        thread::sleep(POLL_INTERVAL.min(due.saturating_duration_since(Instant::now())));
     }
 }
 
-/// Whether all is well again at the end.
-fn recovery(records: &[Record], end: Instant, version: u64) -> Option<String> {
-    let last: Vec<&Record> = records
+/// Checks that requests are answered again at the end of a run; describes the violation if they aren't.
+fn check_recovery(records: &[Record], end: Instant, configuration_version: u64) -> Option<String> {
+    let recent: Vec<&Record> = records
         .iter()
-        .filter(|r| r.sent > end - LAST && r.sent < end && !r.is_deadly)
+        .filter(|r| r.sent_at > end - FINAL_WINDOW && r.sent_at < end && !r.crashes_engine)
         .collect();
     let is_answered = |record: &&&Record| {
-        let answer = record.answer.as_ref();
-        answer.is_some_and(|answer| answer.status == 200 && answer.is_complete)
+        let response = record.response.as_ref();
+        response.is_some_and(|response| response.status == 200 && response.is_complete)
     };
-    let answered = last.iter().filter(is_answered).count();
-    let newest = format!("nursery-{version}");
+    let answered = recent.iter().filter(is_answered).count();
+    let newest = format!("nursery-{configuration_version}");
     let is_newest = |record: &&Record| {
-        let answer = record.answer.as_ref();
-        answer.is_some_and(|answer| answer.body.ends_with(&newest))
+        let response = record.response.as_ref();
+        response.is_some_and(|response| response.body.ends_with(&newest))
     };
-    let is_good = answered as f64 >= last.len() as f64 * LAST_SHARE && last.iter().any(is_newest);
-    (!is_good).then(|| format!("{answered} of {} answered at the end", last.len()))
+    let has_recovered = answered as f64 >= recent.len() as f64 * FINAL_ANSWERED_SHARE
+        && recent.iter().any(is_newest);
+    (!has_recovered).then(|| format!("{answered} of {} answered at the end", recent.len()))
 }
 
-fn report(seed: u64, outcome: &Outcome) -> String {
-    let status = |record: &Record| record.answer.as_ref().map_or(0, |answer| answer.status);
+fn summary(seed: u64, outcome: &Outcome) -> String {
+    let status = |record: &Record| {
+        record
+            .response
+            .as_ref()
+            .map_or(0, |response| response.status)
+    };
     let count = |of: &dyn Fn(&Record) -> bool| outcome.records.iter().filter(|r| of(r)).count();
     format!(
         "seed {seed}: {} requests, 200: {}, 500: {}, 502: {}, 503: {}, 504: {}, closed: {}, \
@@ -206,21 +216,21 @@
     )
 }
 
-/// Tells whoever runs this by hand.
-fn say(text: &str) {
+/// Prints a line for whoever runs the test by hand.
+fn print_line(text: &str) {
     writeln!(std::io::stdout(), "{text}").expect("standard output");
 }
 
-fn hold(seed: u64, faults: Faults) {
-    let outcome = run(seed, faults);
-    say(&report(seed, &outcome));
+fn check_seed(seed: u64, scenario: Scenario) {
+    let outcome = run(seed, scenario);
+    print_line(&summary(seed, &outcome));
     let folder = outcome.folder.display().to_string();
     assert!(
         outcome.violations.is_empty(),
         "seed {seed}, logs in {folder}:\n{}",
         outcome.violations.join("\n")
     );
-    // The logs of a run that held are of no use.
+    // The logs are only needed after a failure.
     let _ = std::fs::remove_dir_all(outcome.folder);
 }
 
@@ -229,64 +239,67 @@
 #[case::tiny_prompts_refused_beside_idle_engines(2)]
 #[case::the_same_on_one_host_only(5)]
 fn promises_hold_under_faults(#[case] seed: u64) {
-    hold(seed, Faults::Plain);
+    check_seed(seed, Scenario::Plain);
 }
 
 #[test]
-fn promises_hold_while_endpoints_start_again_under_their_identifiers() {
-    hold(1, Faults::Restarts);
+fn promises_hold_while_endpoints_restart_under_the_same_identifier() {
+    check_seed(1, Scenario::Restarts);
 }
 
 #[test]
-fn promises_hold_while_the_store_comes_back_from_older_copies() {
-    hold(1, Faults::Rollbacks);
+fn promises_hold_while_the_store_is_restored_from_older_copies() {
+    check_seed(1, Scenario::Rollbacks);
 }
 
 #[test]
-fn promises_hold_while_a_request_ends_each_engine_that_runs_it() {
-    hold(1, Faults::Deadly);
+fn promises_hold_while_a_request_crashes_each_engine_that_runs_it() {
+    check_seed(1, Scenario::CrashingRequest);
 }
 
 #[rstest]
-fn promises_hold_while_endpoints_say_what_they_need(#[values(1, 2)] seed: u64) {
-    hold(seed, Faults::Needs);
+fn promises_hold_while_endpoints_announce_limits_and_draining(#[values(1, 2)] seed: u64) {
+    check_seed(seed, Scenario::Backpressure);
 }
 
 #[test]
 #[ignore = "by hand, for the seeds of SOAK_SEEDS"]
 fn promises_hold_for_the_seeds_asked_for() {
-    hold_asked_for(|seed| match seed % 3 {
-        0 => Faults::Restarts,
-        1 => Faults::Deadly,
-        _ => Faults::Rollbacks,
+    check_requested_seeds(|seed| match seed % 3 {
+        0 => Scenario::Restarts,
+        1 => Scenario::CrashingRequest,
+        _ => Scenario::Rollbacks,
     });
 }
 
 #[test]
 #[ignore = "by hand, for the seeds of SOAK_SEEDS"]
 fn promises_hold_for_the_needs_of_the_seeds_asked_for() {
-    hold_asked_for(|_| Faults::Needs);
+    check_requested_seeds(|_| Scenario::Backpressure);
 }
 
-/// Plays the seeds of SOAK_SEEDS, and fails at the end if one of them did.
-fn hold_asked_for(faults_of: impl Fn(u64) -> Faults) {
-    let asked = std::env::var("SOAK_SEEDS").unwrap_or_else(|_| "1..4".to_string());
-    let (first, last) = asked.split_once("..").expect("FIRST..LAST");
+/// Runs the seeds of SOAK_SEEDS, and fails at the end if one of them did.
+fn check_requested_seeds(scenario_of: impl Fn(u64) -> Scenario) {
+    let requested = std::env::var("SOAK_SEEDS").unwrap_or_else(|_| "1..4".to_string());
+    let (first, last_seed) = requested.split_once("..").expect("FIRST..LAST");
     let first: u64 = first.parse().expect("a number");
-    let last: u64 = last.parse().expect("a number");
-    let mut red = Vec::new();
-    for seed in first..=last {
-        let outcome = run(seed, faults_of(seed));
-        say(&report(seed, &outcome));
+    let last_seed: u64 = last_seed.parse().expect("a number");
+    let mut failing = Vec::new();
+    for seed in first..=last_seed {
+        let outcome = run(seed, scenario_of(seed));
+        print_line(&summary(seed, &outcome));
         if outcome.violations.is_empty() {
             let _ = std::fs::remove_dir_all(outcome.folder);
             continue;
         }
         for violation in outcome.violations.iter().take(5) {
-            say(&format!("  {violation}"));
+            print_line(&format!("  {violation}"));
         }
-        say(&format!("  logs: {}", outcome.folder.display()));
-        red.push(seed);
+        print_line(&format!("  logs: {}", outcome.folder.display()));
+        failing.push(seed);
     }
-    assert!(red.is_empty(), "seeds with a broken promise: {red:?}");
+    assert!(
+        failing.is_empty(),
+        "seeds with a broken promise: {failing:?}"
+    );
 }
--- a/tests/soak/check.rs
+++ b/tests/soak/check.rs
@@ -1,56 +1,56 @@
-//! The promises, checked over what clients and endpoints saw.
+//! Checks the promises to clients and endpoints over what both observed.
 
 use std::collections::HashMap;
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::asked::Came;
-use crate::callers::Kind;
-use crate::callers::Record;
+use crate::backpressure::EndpointArrival;
+use crate::clients::Record;
+use crate::clients::RequestKind;
+use crate::environment::EVENTS;
+use crate::history::Component;
 use crate::history::Crash;
 use crate::history::History;
-use crate::history::What;
 use crate::standin::endpoint::Run;
-use crate::world::EVENTS;
 
-/// Each route's timeout, and what an answer may take beyond it.
+/// Timeout of each route, and the time that a response may take beyond it.
 const TIMEOUT: Duration = Duration::from_millis(800);
 const TIMEOUT_SLACK: Duration = Duration::from_millis(700);
 
-/// Time for which nothing must have been disturbed for a bound to hold.
-const CALM: Duration = Duration::from_secs(3);
+/// Time without disruptions that the time bounds presuppose.
+const UNDISTURBED_PERIOD: Duration = Duration::from_secs(3);
 
-/// Time in which a configuration must be in force, and for a client's and a test's own delays.
-const IN_FORCE: Duration = Duration::from_millis(2_300);
+/// Time in which a configuration must be in force everywhere; includes the delays of clients and of the test itself.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(2_300);
 
-/// A configuration that was seen in force must hold for requests sent this much later.
+/// Once a response shows a version, requests sent this much later must not be served under an older one.
 const REGRESS_SLACK: Duration = Duration::from_millis(250);
 
-/// Time after which a leaving endpoint gets nothing new.
-const LEFT: Duration = Duration::from_millis(2_300);
+/// Time after which a draining endpoint must get no new requests.
+const DRAIN_DELAY: Duration = Duration::from_millis(2_300);
 
-/// Engines that a deadly request may end: three before it is known, and what was on its way then.
-const ENDED_MAX: usize = 6;
+/// Engines that one request may crash: three before it is quarantined, and those that it is already dispatched to then.
+const CRASHES_MAX: usize = 6;
 
-/// Time around an engine's end in which its gateway must be able to see it.
-const SEEN: Duration = Duration::from_millis(400);
+/// Time before and after a crash in which its gateway must be undisturbed to observe it.
+const CRASH_NOTICE_WINDOW: Duration = Duration::from_millis(400);
 
-/// Answers that say that the request has not run.
+/// Statuses that state that the request has not run.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// Answers that deny what each configuration allows.
+/// Statuses that reject a request that each version of the configuration allows.
 const DENIED: [u16; 4] = [400, 401, 403, 404];
 
-/// All that was seen.
-pub(crate) struct Seen<'a> {
+/// The events of a run, the records of its clients, and what its endpoints ran and received.
+pub(crate) struct Observations<'a> {
     pub(crate) history: &'a History,
     pub(crate) records: &'a [Record],
     pub(crate) runs: &'a [(String, Run)],
-    pub(crate) came: &'a [Came],
+    pub(crate) arrivals: &'a [EndpointArrival],
 }
 
-impl Seen<'_> {
-    /// Promises that were broken.
+impl Observations<'_> {
+    /// Descriptions of the promises that were broken.
     pub(crate) fn violations(&self) -> Vec<String> {
         let mut found = self.history.violations.clone();
         let mut runs_of: HashMap<&str, Vec<&Run>> = HashMap::new();
@@ -62,188 +62,218 @@
                 .get(record.id.as_str())
                 .map_or(&[][..], Vec::as_slice);
             self.check_runs(record, runs, &mut found);
-            self.check_answer(record, &mut found);
-            self.check_end(record, runs, &mut found);
+            self.check_response(record, &mut found);
+            self.check_completion(record, runs, &mut found);
         }
-        self.check_held(&mut found);
+        self.check_quarantined(&mut found);
         self.check_crashes(&mut found);
         self.check_versions(&mut found);
-        self.check_leaves(&mut found);
-        self.check_asked(&mut found);
+        self.check_drains(&mut found);
+        self.check_backpressure(&mut found);
         found
     }
 
+    /// Checks that a request runs at most once where it must, and not at all where its status says so.
     fn check_runs(&self, record: &Record, runs: &[&Run], found: &mut Vec<String>) {
-        if record.kind.runs_once() && runs.len() > 1 {
+        if record.kind.is_at_most_once() && runs.len() > 1 {
             found.push(format!("{} ran {} times", record.id, runs.len()));
         }
-        let status = record.answer.as_ref().map_or(0, |answer| answer.status);
-        let must_not_have_run = !record.kind.is_stream() || is_held(record);
+        let status = record
+            .response
+            .as_ref()
+            .map_or(0, |response| response.status);
+        let must_not_have_run = !record.kind.is_stream() || is_quarantined(record);
         if NOT_RUN.contains(&status) && !runs.is_empty() && must_not_have_run {
             found.push(format!("{} got {status} and ran", record.id));
         }
     }
 
-    fn check_answer(&self, record: &Record, found: &mut Vec<String>) {
-        let Some(answer) = &record.answer else {
+    /// Checks that the response belongs to the request and is intact.
+    fn check_response(&self, record: &Record, found: &mut Vec<String>) {
+        let Some(response) = &record.response else {
             return;
         };
-        if DENIED.contains(&answer.status) {
-            found.push(format!("{} was denied: {}", record.id, answer.status));
+        if DENIED.contains(&response.status) {
+            found.push(format!("{} was denied: {}", record.id, response.status));
         }
-        if answer.status != 200 {
+        if response.status != 200 {
             return;
         }
-        let echoed = answer.head.header("request-id");
-        if echoed != Some(&record.id) || answer.head.header("server-stamp").is_none() {
-            found.push(format!("{} got another one's answer", record.id));
+        let echoed = response.head.header("request-id");
+        if echoed != Some(&record.id) || response.head.header("server-stamp").is_none() {
+            found.push(format!("{} got the response to another request", record.id));
         }
-        if !answer.is_complete {
+        if !response.is_complete {
             return;
         }
         let is_good = match record.kind.is_stream() {
-            true => answer.body == whole_stream() || is_whole_text(record, &answer.body),
-            false => is_whole_text(record, &answer.body),
+            true => response.body == whole_stream() || is_whole_text(record, &response.body),
+            false => is_whole_text(record, &response.body),
         };
         if !is_good {
             found.push(format!(
-                "{} got a spoiled answer: {:?}",
-                record.id, answer.body
+                "{} got a corrupted response: {:?}",
+                record.id, response.body
             ));
         }
     }
 
-    fn check_end(&self, record: &Record, runs: &[&Run], found: &mut Vec<String>) {
-        let process = [What::Process(record.gateway)];
-        if self.is_upset(&process, record.sent, record.ended) {
+    /// Checks that a request ends in time, and that its connection isn't closed without a response.
+    fn check_completion(&self, record: &Record, runs: &[&Run], found: &mut Vec<String>) {
+        let process = [Component::Process(record.gateway)];
+        if self.is_disrupted(&process, record.sent_at, record.ended_at) {
             return;
         }
-        let took = record.ended - record.sent;
+        let took = record.ended_at - record.sent_at;
         if took > TIMEOUT + TIMEOUT_SLACK {
             found.push(format!("{} took {took:?}", record.id));
         }
-        let is_closed = record.answer.is_none();
+        let is_closed = record.response.is_none();
         if is_closed && !runs.is_empty() {
             found.push(format!("{} ran and its connection was closed", record.id));
         }
-        if is_closed && !record.is_kept {
+        if is_closed && !record.is_reused {
             found.push(format!("{} was closed on a new connection", record.id));
         }
     }
 
-    /// A configuration is in force in time, and never goes back in one life of a process.
+    /// Checks that a configuration is in force in time, and that one process never returns to an older one.
     fn check_versions(&self, found: &mut Vec<String>) {
         let versions = self.records.iter().filter_map(|r| Some((r, version(r)?)));
         let versions: Vec<(&Record, u64)> = versions.collect();
         for (record, version) in &versions {
             let due = self.history.versions.iter().rev();
-            let mut due = due.filter(|(_, at)| record.sent > *at + IN_FORCE);
+            let mut due = due.filter(|(_, at)| record.sent_at > *at + PROPAGATION_TIMEOUT);
             let Some((due, _)) = due.next() else {
                 continue;
             };
-            let beliefs = [
-                What::Process(record.gateway),
-                What::StorePath(record.gateway),
-                What::Store,
+            let dependencies = [
+                Component::Process(record.gateway),
+                Component::StorePath(record.gateway),
+                Component::Store,
             ];
-            let since = record.sent - CALM - IN_FORCE;
-            if version < due && !self.is_upset(&beliefs, since, record.sent) {
-                found.push(format!("{} met version {version}, not {due}", record.id));
+            let since = record.sent_at - UNDISTURBED_PERIOD - PROPAGATION_TIMEOUT;
+            if version < due && !self.is_disrupted(&dependencies, since, record.sent_at) {
+                found.push(format!(
+                    "{} was served under version {version}, not {due}",
+                    record.id
+                ));
             }
         }
-        for life in &self.history.lives {
-            let is_in = |record: &Record| {
-                let ended_before = life.until.is_none_or(|until| record.ended < until);
-                record.gateway == life.gateway && record.sent > life.from && ended_before
+        for lifetime in &self.history.process_lifetimes {
+            let is_in_lifetime = |record: &Record| {
+                let ended_before = lifetime.until.is_none_or(|until| record.ended_at < until);
+                record.gateway == lifetime.gateway && record.sent_at > lifetime.from && ended_before
             };
-            let mut of_life: Vec<_> = versions.iter().filter(|(r, _)| is_in(r)).collect();
-            of_life.sort_by_key(|(record, _)| record.ended);
-            for (index, (record, newer)) in of_life.iter().enumerate() {
-                let later = of_life[index + 1..].iter();
-                let mut later = later.filter(|(r, _)| r.sent > record.ended + REGRESS_SLACK);
+            let mut of_lifetime: Vec<_> =
+                versions.iter().filter(|(r, _)| is_in_lifetime(r)).collect();
+            of_lifetime.sort_by_key(|(record, _)| record.ended_at);
+            for (index, (record, newer)) in of_lifetime.iter().enumerate() {
+                let later = of_lifetime[index + 1..].iter();
+                let mut later = later.filter(|(r, _)| r.sent_at > record.ended_at + REGRESS_SLACK);
                 if let Some((older, version)) = later.find(|(_, version)| version < newer) {
-                    found.push(format!("{} met {version} after {newer}", older.id));
+                    found.push(format!(
+                        "{} was served under version {version} after {newer}",
+                        older.id
+                    ));
                 }
             }
         }
     }
 
-    /// Nothing is held but what is deadly.
-    fn check_held(&self, found: &mut Vec<String>) {
-        for record in self.records.iter().filter(|record| !record.is_deadly) {
-            if is_held(record) {
-                found.push(format!("{} was held and isn't deadly", record.id));
+    /// Checks that only requests that crash engines are quarantined.
+    fn check_quarantined(&self, found: &mut Vec<String>) {
+        for record in self.records.iter().filter(|record| !record.crashes_engine) {
+            if is_quarantined(record) {
+                found.push(format!(
+                    "{} was quarantined but crashes no engine",
+                    record.id
+                ));
             }
         }
     }
 
-    /// A deadly request ends few engines. Those don't count of which its gateway could see no end: it was killed or paused
-    /// itself, or the path was harmed.
+    /// Checks that a request crashes at most [`CRASHES_MAX`] engines. Crashes that its gateway couldn't observe don't
+    /// count: those while it was killed or paused itself, or while the path was broken.
     fn check_crashes(&self, found: &mut Vec<String>) {
         let by_id: HashMap<&str, &Record> =
             self.records.iter().map(|r| (r.id.as_str(), r)).collect();
-        let is_seen = |crash: &&Crash| {
+        let is_observable = |crash: &&Crash| {
             let mut runs = self.runs.iter().filter(|(id, _)| *id == crash.id);
             let last = runs.rfind(|(_, run)| {
                 let record = by_id.get(run.request_id.as_str());
-                record.is_some_and(|record| record.is_deadly)
+                record.is_some_and(|record| record.crashes_engine)
             });
             let gateway = last.and_then(|(_, run)| by_id.get(run.request_id.as_str()));
-            let upsets = [
-                What::Process(gateway.map_or(usize::MAX, |record| record.gateway)),
-                What::EndpointPath(crash.place),
+            let disruptions = [
+                Component::Process(gateway.map_or(usize::MAX, |record| record.gateway)),
+                Component::EndpointPath(crash.slot),
             ];
-            !self.is_upset(&upsets, crash.at - SEEN, crash.at + SEEN)
+            !self.is_disrupted(
+                &disruptions,
+                crash.at - CRASH_NOTICE_WINDOW,
+                crash.at + CRASH_NOTICE_WINDOW,
+            )
         };
-        let seen = self.history.crashes.iter().filter(is_seen).count();
-        if seen > ENDED_MAX {
-            found.push(format!("a deadly request ended {seen} engines"));
+        let count = self.history.crashes.iter().filter(is_observable).count();
+        if count > CRASHES_MAX {
+            found.push(format!("a request crashed {count} engines"));
         }
     }
 
-    fn check_leaves(&self, found: &mut Vec<String>) {
+    /// Checks that draining endpoints get no new requests.
+    fn check_drains(&self, found: &mut Vec<String>) {
         let by_id: HashMap<&str, &Record> =
             self.records.iter().map(|r| (r.id.as_str(), r)).collect();
-        for leave in &self.history.leaves {
-            let of_it = self.runs.iter().filter(|(id, _)| *id == leave.id);
-            for (_, run) in of_it.filter(|(_, run)| run.at > leave.at + LEFT) {
+        for drain in &self.history.drains {
+            let of_it = self.runs.iter().filter(|(id, _)| *id == drain.id);
+            for (_, run) in of_it.filter(|(_, run)| run.at > drain.at + DRAIN_DELAY) {
                 let Some(record) = by_id.get(run.request_id.as_str()) else {
                     continue;
                 };
-                let beliefs = [
-                    What::Process(record.gateway),
-                    What::StorePath(record.gateway),
-                    What::Store,
+                let dependencies = [
+                    Component::Process(record.gateway),
+                    Component::StorePath(record.gateway),
+                    Component::Store,
                 ];
-                if !self.is_upset(&beliefs, leave.at - CALM, run.at) {
-                    found.push(format!("{} ran at {}, which had left", record.id, leave.id));
+                if !self.is_disrupted(&dependencies, drain.at - UNDISTURBED_PERIOD, run.at) {
+                    found.push(format!(
+                        "{} ran at {}, which was draining",
+                        record.id, drain.id
+                    ));
                 }
             }
         }
     }
 
-    pub(crate) fn is_upset(&self, what: &[What], from: Instant, until: Instant) -> bool {
-        let mut upsets = self.history.upsets.iter();
-        upsets.any(|upset| {
-            let ended_before = upset.until.is_some_and(|end| end < from);
-            what.contains(&upset.what) && upset.from <= until && !ended_before
+    /// Whether one of these components was disrupted at some time of the interval.
+    pub(crate) fn is_disrupted(
+        &self,
+        components: &[Component],
+        from: Instant,
+        until: Instant,
+    ) -> bool {
+        let mut disruptions = self.history.disruptions.iter();
+        disruptions.any(|disruption| {
+            let ended_before = disruption.until.is_some_and(|end| end < from);
+            components.contains(&disruption.component) && disruption.from <= until && !ended_before
         })
     }
 }
 
-/// Whether the client was told that such requests are held.
-fn is_held(record: &Record) -> bool {
-    let answer = record.answer.as_ref();
-    answer.is_some_and(|answer| answer.body.contains("quarantined"))
+/// Whether the response states that the request is quarantined.
+fn is_quarantined(record: &Record) -> bool {
+    let response = record.response.as_ref();
+    response.is_some_and(|response| response.body.contains("quarantined"))
 }
 
-/// The version that the answer names.
+/// The version of the configuration that the response names.
 fn version(record: &Record) -> Option<u64> {
-    let answer = record.answer.as_ref().filter(|a| a.status == 200)?;
-    if record.kind != Kind::Safe && record.kind != Kind::Once {
+    let response = record.response.as_ref().filter(|a| a.status == 200)?;
+    if record.kind != RequestKind::Idempotent && record.kind != RequestKind::AtMostOnce {
         return None;
     }
-    let (_, version) = answer.body.split_once("nursery-")?;
+    let (_, version) = response.body.split_once("nursery-")?;
     version.parse().ok()
 }
 
--- /dev/null
+++ b/tests/soak/clients.rs
@@ -0,0 +1,237 @@
+//! Clients that send requests of all kinds on new and reused connections, and record the responses.
+
+use std::io::Write;
+use std::net::SocketAddr;
+use std::net::TcpStream;
+use std::sync::atomic::AtomicBool;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::thread;
+use std::thread::JoinHandle;
+use std::time::Duration;
+use std::time::Instant;
+
+use rand::Rng;
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+
+use crate::standin::client::read_response;
+use crate::standin::client::Response;
+use crate::standin::endpoint::CRASH_MARKER;
+use crate::standin::gateway::API_KEY;
+use crate::standin::gateway::HOST_NAME;
+
+/// Read timeout of a client; it exceeds the timeout of each route.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(6);
+
+/// Pause of a client between requests.
+const PAUSE: Duration = Duration::from_millis(15);
+
+/// Largest number of requests on one connection.
+const REQUESTS_PER_CONNECTION: u32 = 20;
+
+/// The route of a request, which determines whether it may be retried and whether the response is a stream.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum RequestKind {
+    Idempotent,
+    AtMostOnce,
+    Stream,
+    AtMostOnceStream,
+    /// A stream that needs no API key, so that its organisation is the same under all versions of the configuration.
+    UnauthenticatedStream,
+}
+
+impl RequestKind {
+    fn path(self) -> &'static str {
+        match self {
+            Self::Idempotent => "/safe/1",
+            Self::AtMostOnce => "/once/1",
+            Self::Stream => "/talk/1",
+            Self::AtMostOnceStream => "/once-talk/1",
+            Self::UnauthenticatedStream => "/open-talk/1",
+        }
+    }
+
+    pub(crate) fn is_stream(self) -> bool {
+        matches!(
+            self,
+            Self::Stream | Self::AtMostOnceStream | Self::UnauthenticatedStream
+        )
+    }
+
+    pub(crate) fn is_at_most_once(self) -> bool {
+        matches!(self, Self::AtMostOnce | Self::AtMostOnceStream)
+    }
+}
+
+/// One request and its outcome.
+#[derive(Debug, Clone)]
+pub(crate) struct Record {
+    pub(crate) id: String,
+    pub(crate) kind: RequestKind,
+    pub(crate) gateway: usize,
+    /// Whether the connection had carried a request before.
+    pub(crate) is_reused: bool,
+    /// Whether it crashes the engine that runs it.
+    pub(crate) crashes_engine: bool,
+    pub(crate) sent_at: Instant,
+    pub(crate) ended_at: Instant,
+    /// `None` if the connection ended or the read timed out before the head of a response.
+    pub(crate) response: Option<Response>,
+}
+
+/// Running clients, one thread each.
+pub(crate) struct Clients {
+    stop: Arc<AtomicBool>,
+    threads: Vec<JoinHandle<Vec<Record>>>,
+}
+
+impl Clients {
+    /// Starts `count` clients that send to these gateways.
+    pub(crate) fn start(seed: u64, count: u64, gateways: &[SocketAddr]) -> Self {
+        let stop = Arc::new(AtomicBool::new(false));
+        let start = |number: u64| {
+            let client = Client {
+                rng: ChaCha8Rng::seed_from_u64(seed ^ (number << 32)),
+                name: format!("{seed:x}-{number:x}"),
+                gateways: gateways.to_vec(),
+                records: Vec::new(),
+            };
+            let stop = stop.clone();
+            thread::spawn(move || client.run_until(&stop))
+        };
+        let threads = (1..=count).map(start).collect();
+        Self { stop, threads }
+    }
+
+    /// Adds a client that repeats one request that crashes engines, each time at a random gateway.
+    pub(crate) fn add_crashing_client(&mut self, seed: u64, gateways: &[SocketAddr]) {
+        let mut client = Client {
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            name: format!("{seed:x}-{CRASH_MARKER}"),
+            gateways: gateways.to_vec(),
+            records: Vec::new(),
+        };
+        let stop = self.stop.clone();
+        self.threads.push(thread::spawn(move || {
+            while !stop.load(Ordering::Relaxed) {
+                thread::sleep(PAUSE);
+                let gateway = client.random_below(client.gateways.len() as u32) as usize;
+                if let Ok(mut stream) = connect(client.gateways[gateway]) {
+                    client.send(
+                        gateway,
+                        &mut stream,
+                        false,
+                        RequestKind::UnauthenticatedStream,
+                        CRASH_MARKER,
+                    );
+                }
+            }
+            client.records
+        }));
+    }
+
+    /// Stops the clients and returns their records.
+    pub(crate) fn stop(self) -> Vec<Record> {
+        self.stop.store(true, Ordering::Relaxed);
+        let records = self.threads.into_iter().map(|thread| thread.join());
+        records
+            .flat_map(|records| records.expect("no panic"))
+            .collect()
+    }
+}
+
+struct Client {
+    rng: ChaCha8Rng,
+    name: String,
+    gateways: Vec<SocketAddr>,
+    records: Vec<Record>,
+}
+
+impl Client {
+    fn random_below(&mut self, bound: u32) -> u32 {
+        self.rng.next_u32() % bound
+    }
+
+    fn run_until(mut self, stop: &AtomicBool) -> Vec<Record> {
+        while !stop.load(Ordering::Relaxed) {
+            let gateway = self.random_below(self.gateways.len() as u32) as usize;
+            let Ok(mut stream) = connect(self.gateways[gateway]) else {
+                thread::sleep(PAUSE);
+                continue;
+            };
+            // Some connections stay in use until the gateway's process has ended.
+            let requests = 1 + self.random_below(REQUESTS_PER_CONNECTION);
+            for number in 0..requests {
+                let is_reusable = self.send_random(gateway, &mut stream, number > 0);
+                thread::sleep(PAUSE);
+                if !is_reusable || stop.load(Ordering::Relaxed) {
+                    break;
+                }
+            }
+        }
+        self.records
+    }
+
+    /// Sends a request of a random kind. Returns whether the connection can be reused.
+    fn send_random(&mut self, gateway: usize, stream: &mut TcpStream, is_reused: bool) -> bool {
+        let kinds = [
+            RequestKind::Idempotent,
+            RequestKind::AtMostOnce,
+            RequestKind::Stream,
+            RequestKind::AtMostOnceStream,
+        ];
+        let kind = kinds[self.random_below(4) as usize];
+        self.send(gateway, stream, is_reused, kind, "hi")
+    }
+
+    /// Sends one request and records its outcome. Returns whether the connection can be reused.
+    fn send(
+        &mut self,
+        gateway: usize,
+        stream: &mut TcpStream,
+        is_reused: bool,
+        kind: RequestKind,
+        body: &str,
+    ) -> bool {
+        let id = format!("{}-{}", self.name, self.records.len());
+        let key = match kind {
+            RequestKind::UnauthenticatedStream => String::new(),
+            _ => format!("Credential: {API_KEY}\r\n"),
+        };
+        let text = format!(
+            "POST {} HTTP/1.1\r\nHost: {HOST_NAME}\r\nRequest-Id: {id}\r\nDeadline-Ms: 5000\r\n\
+             {key}Token-Count: 900,200\r\nContent-Length: {}\r\n\r\n{body}",
+            kind.path(),
+            body.len(),
+        );
+        let sent_at = Instant::now();
+        let is_sent = stream.write_all(text.as_bytes()).is_ok();
+        let response = is_sent.then(|| read_response(stream));
+        let response = response.filter(|response| response.status != 0);
+        let closes_connection = |response: &Response| {
+            let field = response.head.header("connection").unwrap_or_default();
+            field.eq_ignore_ascii_case("close")
+        };
+        let is_reusable = response
+            .as_ref()
+            .is_some_and(|a| a.is_complete && !closes_connection(a));
+        self.records.push(Record {
+            id,
+            kind,
+            gateway,
+            is_reused,
+            crashes_engine: body == CRASH_MARKER,
+            sent_at,
+            ended_at: Instant::now(),
+            response,
+        });
+        is_reusable
+    }
+}
+
+fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
+    let stream = TcpStream::connect_timeout(&address, Duration::from_secs(1))?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+    Ok(stream)
+}
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -1,75 +1,77 @@
-//! What happened in a run, for the checks.
+//! The history of a run: disruptions, process lifetimes, drains, crashes and configuration versions.
 
 use std::time::Instant;
 
-/// What was disturbed.
+/// A component of the system that a fault can disrupt; the numbers are those of gateways and endpoint slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum What {
+pub(crate) enum Component {
     Process(usize),
     EndpointPath(usize),
     StorePath(usize),
     Store,
 }
 
-/// A disturbance; `until` is none while it lasts.
+/// A period in which a component is disrupted; `until` is `None` while it lasts.
 #[derive(Debug, Clone)]
-pub(crate) struct Upset {
-    pub(crate) what: What,
+pub(crate) struct Disruption {
+    pub(crate) component: Component,
     pub(crate) from: Instant,
     pub(crate) until: Option<Instant>,
 }
 
-/// The life of one process.
+/// The time for which one gateway process ran; `until` is `None` while it runs.
 #[derive(Debug, Clone)]
-pub(crate) struct Life {
+pub(crate) struct ProcessLifetime {
     pub(crate) gateway: usize,
     pub(crate) from: Instant,
     pub(crate) until: Option<Instant>,
 }
 
-/// An endpoint that said that it leaves.
+/// An endpoint whose row in the store was set to draining.
 #[derive(Debug, Clone)]
-pub(crate) struct Leave {
+pub(crate) struct Drain {
     pub(crate) id: String,
     pub(crate) at: Instant,
 }
 
-/// An endpoint that a deadly request ended.
+/// An endpoint that was crashed by a request.
 #[derive(Debug, Clone)]
 pub(crate) struct Crash {
     pub(crate) id: String,
-    pub(crate) place: usize,
+    pub(crate) slot: usize,
     pub(crate) at: Instant,
 }
 
-/// What happened, for the checks.
+/// The events of a run that the checks need.
 #[derive(Debug, Default)]
 pub(crate) struct History {
-    pub(crate) upsets: Vec<Upset>,
-    pub(crate) lives: Vec<Life>,
-    pub(crate) leaves: Vec<Leave>,
+    pub(crate) disruptions: Vec<Disruption>,
+    pub(crate) process_lifetimes: Vec<ProcessLifetime>,
+    pub(crate) drains: Vec<Drain>,
     pub(crate) crashes: Vec<Crash>,
-    /// Versions of the configuration and when the store had them.
+    /// Versions of the configuration and when they were written to the store.
     pub(crate) versions: Vec<(u64, Instant)>,
-    /// Promises seen broken while it ran.
+    /// Violations detected during the run.
     pub(crate) violations: Vec<String>,
 }
 
 impl History {
-    /// Something is disturbed from now on.
-    pub(crate) fn upset(&mut self, what: What) {
-        self.upsets.push(Upset {
-            what,
+    /// Records that a component is disrupted from now on.
+    pub(crate) fn begin_disruption(&mut self, component: Component) {
+        self.disruptions.push(Disruption {
+            component,
             from: Instant::now(),
             until: None,
         });
     }
 
-    /// It isn't any more.
-    pub(crate) fn ends(&mut self, what: What) {
-        let open = self.upsets.iter_mut();
-        for upset in open.filter(|upset| upset.what == what && upset.until.is_none()) {
-            upset.until = Some(Instant::now());
+    /// Ends all open disruptions of a component.
+    pub(crate) fn end_disruption(&mut self, component: Component) {
+        let open_disruptions = self.disruptions.iter_mut();
+        for disruption in open_disruptions
+            .filter(|disruption| disruption.component == component && disruption.until.is_none())
+        {
+            disruption.until = Some(Instant::now());
         }
     }
 }
--- a/tests/soak/host.rs
+++ b/tests/soak/host.rs
@@ -1,4 +1,4 @@
-//! The host of a gateway: its settings, its path to the store and its process.
+//! The host of a gateway: its settings file, its path to the store and its process.
 
 use std::fs::File;
 use std::path::PathBuf;
@@ -9,12 +9,12 @@
 use mgs_testing::proxy::Route;
 
 use crate::common::marigoldstage;
-use crate::world::GATEWAYS;
+use crate::environment::GATEWAYS;
 
-/// Time that the platform gives a process to end after SIGTERM, in seconds.
+/// Grace period of a gateway process after SIGTERM, in seconds.
 pub(crate) const GRACE_S: u64 = 8;
 
-/// One gateway's host.
+/// The host of one gateway; each has an IP address of its own, and `child` is `None` while no process runs.
 pub(crate) struct Host {
     pub(crate) number: usize,
     pub(crate) ip: String,
@@ -23,13 +23,13 @@
     pub(crate) log: PathBuf,
     pub(crate) store_path: Route,
     pub(crate) child: Option<Child>,
-    pub(crate) terminated: Option<Instant>,
+    pub(crate) terminated_at: Option<Instant>,
 }
 
 impl Drop for Host {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // Fails if the process has already ended.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Address of a host.
+/// IP address of a host.
 pub(crate) fn ip(number: usize) -> String {
     format!("127.0.77.{}", number + 1)
 }
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -1,15 +1,15 @@
-//! What goes wrong and when, drawn from a seed.
+//! The fault plan of a run: steps and their times, drawn from a seed.
 
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
+use crate::environment::ENDPOINTS;
+use crate::environment::GATEWAYS;
 use crate::standin::endpoint::Behaviour;
 use crate::standin::store::Mode;
-use crate::world::ENDPOINTS;
-use crate::world::GATEWAYS;
 
-/// What is wrong with a path through a proxy.
+/// A fault of a network path, injected by its proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PathFault {
     Delayed,
@@ -17,256 +17,277 @@
     Cut,
     Silent,
     SilentOneWay,
-    /// Open connections fall silent, new ones work.
-    Forgotten,
+    /// Open connections carry no more bytes; new ones work.
+    OpenConnectionsSilent,
     RepliesLost,
 }
 
-/// One thing that happens.
+/// A fault, or the repair of one. The first number is that of a gateway or of an endpoint slot.
 #[derive(Debug, Clone)]
 pub(crate) enum Step {
-    StorePath(usize, PathFault),
-    StorePathHealed(usize),
-    StoreMode(Mode),
-    HistoryDropped,
-    /// It comes back from a copy of this age, and what it has lost is written again after so long, both in milliseconds.
-    StoreRolledBack(u64, u64),
-    EndpointPath(usize, PathFault),
-    EndpointPathHealed(usize),
-    EndpointActs(usize, Behaviour),
-    EndpointWell(usize),
-    EndpointLeaves(usize),
-    /// It says this of itself in all its answers, as whole lines of their heads.
-    EndpointSays(usize, String),
-    EndpointGone(usize),
-    /// Another incarnation at the same address; the entry of the one before stays.
-    EndpointBack(usize),
-    /// Entries of earlier incarnations are gone.
-    EndpointLapsed(usize),
-    /// It crashes and starts again under its identifier and address; nothing tells so yet.
-    EndpointStartsAgain(usize),
-    /// Its entry is written anew.
-    EndpointListed(usize),
-    /// Another writer spoils its entry.
-    EndpointRowSpoilt(usize),
-    Paused(usize),
-    Continued(usize),
-    Killed(usize),
-    Terminated(usize),
-    Started(usize),
-    HungUp(usize),
-    SettingsSpoiled(usize),
-    SettingsMended(usize),
-    Configured,
+    /// Injects a fault into the path between a gateway and the store.
+    BreakStorePath(usize, PathFault),
+    HealStorePath(usize),
+    SetStoreMode(Mode),
+    /// Drops the changes of the store up to now, so that its feed can't be continued.
+    DropStoreHistory,
+    /// Restores the store from a copy of this age; the lost writes are repeated after this delay, both in milliseconds.
+    RollBackStore(u64, u64),
+    /// Injects a fault into the path to an endpoint.
+    BreakEndpointPath(usize, PathFault),
+    HealEndpointPath(usize),
+    SetEndpointBehaviour(usize, Behaviour),
+    ResetEndpointBehaviour(usize),
+    /// Sets the state of the endpoint in the store to draining.
+    DrainEndpoint(usize),
+    /// Adds these header lines to all responses of the endpoint.
+    SetEndpointHeaders(usize, String),
+    RemoveEndpointRow(usize),
+    /// Starts another incarnation at the same address; the row of the previous one stays in the store.
+    ReplaceEndpoint(usize),
+    /// Removes the rows of previous incarnations.
+    RemoveStaleRows(usize),
+    /// Crashes the endpoint and starts it under the same identifier and address, without a change in the store.
+    RestartEndpoint(usize),
+    /// Writes the row of the endpoint again.
+    RewriteEndpointRow(usize),
+    /// Overwrites the row of the endpoint with invalid JSON, as a faulty writer does.
+    CorruptEndpointRow(usize),
+    /// Sends SIGSTOP.
+    PauseGateway(usize),
+    /// Sends SIGCONT.
+    ResumeGateway(usize),
+    KillGateway(usize),
+    /// Sends SIGTERM.
+    TerminateGateway(usize),
+    StartGateway(usize),
+    /// Sends SIGHUP, upon which the gateway reads its settings again.
+    HangUpGateway(usize),
+    /// Replaces the settings file of the gateway with invalid TOML.
+    CorruptSettings(usize),
+    RestoreSettings(usize),
+    /// Writes a new version of the configuration.
+    PublishConfiguration,
 }
 
-/// A step and when it comes, in milliseconds from the start.
+/// A step and its time, in milliseconds from the start of the run.
 #[derive(Debug, Clone)]
-pub(crate) struct Timed {
+pub(crate) struct TimedStep {
     pub(crate) at_ms: u64,
     pub(crate) step: Step,
 }
 
-/// The steps of a seed within `length_ms`; whatever began has ended by then.
-pub(crate) fn plan(seed: u64, length_ms: u64) -> Vec<Timed> {
-    // About two faults a second, so that several overlap.
+/// The basic plan of a seed, sorted by time. All faults are repaired by `length_ms`.
+pub(crate) fn plan(seed: u64, length_ms: u64) -> Vec<TimedStep> {
+    // Two faults a second on average, so that several overlap.
     let count = length_ms / 500;
-    Planner::more(seed, length_ms, Vec::new(), count, Planner::fault)
+    Planner::extend_plan(seed, length_ms, Vec::new(), count, Planner::add_fault)
 }
 
-/// The same with endpoints that start again under their identifiers, and entries that others spoil meanwhile.
-pub(crate) fn plan_with_restarts(seed: u64, length_ms: u64) -> Vec<Timed> {
+/// [`plan`] with endpoints that restart under the same identifier, and rows that other writers corrupt meanwhile.
+pub(crate) fn plan_with_restarts(seed: u64, length_ms: u64) -> Vec<TimedStep> {
     let steps = plan(seed, length_ms);
     let count = length_ms / 700;
-    Planner::more(!seed, length_ms, steps, count, Planner::restart)
+    Planner::extend_plan(!seed, length_ms, steps, count, Planner::add_restart)
 }
 
-/// The same, and the store comes back from older copies.
-pub(crate) fn plan_with_rollbacks(seed: u64, length_ms: u64) -> Vec<Timed> {
+/// [`plan_with_restarts`] with a store that is restored from older copies.
+pub(crate) fn plan_with_rollbacks(seed: u64, length_ms: u64) -> Vec<TimedStep> {
     let steps = plan_with_restarts(seed, length_ms);
-    let (numbers, count) = (seed.rotate_left(17), length_ms / 3_000);
-    Planner::more(numbers, length_ms, steps, count, Planner::rollback)
+    let (rng_seed, count) = (seed.rotate_left(17), length_ms / 3_000);
+    Planner::extend_plan(rng_seed, length_ms, steps, count, Planner::add_rollback)
 }
 
-/// The same as [`plan_with_restarts`], and endpoints say in their answers what they need.
-pub(crate) fn plan_with_needs(seed: u64, length_ms: u64) -> Vec<Timed> {
+/// [`plan_with_restarts`] with endpoints that announce limits, draining and back-off in response headers.
+pub(crate) fn plan_with_backpressure(seed: u64, length_ms: u64) -> Vec<TimedStep> {
     let steps = plan_with_restarts(seed, length_ms);
-    let (numbers, count) = (seed.rotate_left(31), length_ms / 1_000);
-    Planner::more(numbers, length_ms, steps, count, Planner::need)
+    let (rng_seed, count) = (seed.rotate_left(31), length_ms / 1_000);
+    Planner::extend_plan(rng_seed, length_ms, steps, count, Planner::add_backpressure)
 }
 
+/// Draws the steps of a plan from a random number generator.
 struct Planner {
-    numbers: ChaCha8Rng,
+    rng: ChaCha8Rng,
     length_ms: u64,
-    steps: Vec<Timed>,
+    steps: Vec<TimedStep>,
 }
 
 impl Planner {
-    /// These steps and more, which `add` draws so many times.
-    fn more(
-        numbers: u64,
+    /// Returns `steps` and those of `count` calls of `add_event`, sorted by time.
+    fn extend_plan(
+        rng_seed: u64,
         length_ms: u64,
-        steps: Vec<Timed>,
+        steps: Vec<TimedStep>,
         count: u64,
-        add: fn(&mut Self),
-    ) -> Vec<Timed> {
+        add_event: fn(&mut Self),
+    ) -> Vec<TimedStep> {
         let mut planner = Self {
-            numbers: ChaCha8Rng::seed_from_u64(numbers),
+            rng: ChaCha8Rng::seed_from_u64(rng_seed),
             length_ms,
             steps,
         };
         for _ in 0..count {
-            add(&mut planner);
+            add_event(&mut planner);
         }
-        planner.steps.sort_by_key(|timed| timed.at_ms);
+        planner.steps.sort_by_key(|timed_step| timed_step.at_ms);
         planner.steps
     }
 
-    fn rollback(&mut self) {
-        let at_ms = self.below(self.length_ms);
-        let age_ms = self.below(6_000);
-        let write_again_ms = self.below(2_000);
-        self.add(at_ms, Step::StoreRolledBack(age_ms, write_again_ms));
+    fn add_rollback(&mut self) {
+        let at_ms = self.random_below(self.length_ms);
+        let age_ms = self.random_below(6_000);
+        let rewrite_after_ms = self.random_below(2_000);
+        self.add(at_ms, Step::RollBackStore(age_ms, rewrite_after_ms));
     }
 
-    fn below(&mut self, most: u64) -> u64 {
-        u64::from(self.numbers.next_u32()) % most.max(1)
+    fn random_below(&mut self, bound: u64) -> u64 {
+        u64::from(self.rng.next_u32()) % bound.max(1)
     }
 
     fn add(&mut self, at_ms: u64, step: Step) {
         let at_ms = at_ms.min(self.length_ms);
-        self.steps.push(Timed { at_ms, step });
+        self.steps.push(TimedStep { at_ms, step });
     }
 
-    fn fault(&mut self) {
-        let at_ms = self.below(self.length_ms);
-        let end_ms = at_ms + 100 + self.below(3_000);
-        let gateway = self.below(GATEWAYS as u64) as usize;
-        let endpoint = self.below(ENDPOINTS as u64) as usize;
-        let path = self.path_fault();
-        let pause_ms = self.below(1_500);
-        match self.below(15) {
+    fn add_fault(&mut self) {
+        let at_ms = self.random_below(self.length_ms);
+        let end_ms = at_ms + 100 + self.random_below(3_000);
+        let gateway = self.random_below(GATEWAYS as u64) as usize;
+        let endpoint = self.random_below(ENDPOINTS as u64) as usize;
+        let path = self.random_path_fault();
+        let pause_ms = self.random_below(1_500);
+        match self.random_below(15) {
             0 | 1 => {
-                self.add(at_ms, Step::StorePath(gateway, path));
-                self.add(end_ms, Step::StorePathHealed(gateway));
+                self.add(at_ms, Step::BreakStorePath(gateway, path));
+                self.add(end_ms, Step::HealStorePath(gateway));
             }
             2 => {
-                let mode = [Mode::Unavailable, Mode::Silent][self.below(2) as usize];
-                self.add(at_ms, Step::StoreMode(mode));
-                self.add(end_ms, Step::StoreMode(Mode::Up));
+                let mode = [Mode::Unavailable, Mode::Silent][self.random_below(2) as usize];
+                self.add(at_ms, Step::SetStoreMode(mode));
+                self.add(end_ms, Step::SetStoreMode(Mode::Up));
             }
-            3 => self.add(at_ms, Step::HistoryDropped),
+            3 => self.add(at_ms, Step::DropStoreHistory),
             4 | 5 => {
-                self.add(at_ms, Step::EndpointPath(endpoint, path));
-                self.add(end_ms, Step::EndpointPathHealed(endpoint));
+                self.add(at_ms, Step::BreakEndpointPath(endpoint, path));
+                self.add(end_ms, Step::HealEndpointPath(endpoint));
             }
             6 | 7 => {
-                let act = self.act();
-                self.add(at_ms, Step::EndpointActs(endpoint, act));
-                self.add(end_ms, Step::EndpointWell(endpoint));
+                let random_behaviour = self.random_behaviour();
+                self.add(
+                    at_ms,
+                    Step::SetEndpointBehaviour(endpoint, random_behaviour),
+                );
+                self.add(end_ms, Step::ResetEndpointBehaviour(endpoint));
             }
             8 => {
-                self.add(at_ms, Step::EndpointLeaves(endpoint));
-                self.add(at_ms + 2_500, Step::EndpointGone(endpoint));
-                self.add(at_ms + 3_000 + pause_ms, Step::EndpointBack(endpoint));
+                self.add(at_ms, Step::DrainEndpoint(endpoint));
+                self.add(at_ms + 2_500, Step::RemoveEndpointRow(endpoint));
+                self.add(at_ms + 3_000 + pause_ms, Step::ReplaceEndpoint(endpoint));
             }
             9 => {
-                self.add(at_ms, Step::Paused(gateway));
-                self.add(end_ms, Step::Continued(gateway));
+                self.add(at_ms, Step::PauseGateway(gateway));
+                self.add(end_ms, Step::ResumeGateway(gateway));
             }
             10 => {
-                self.add(at_ms, Step::Killed(gateway));
-                self.add(at_ms + 200 + pause_ms / 2, Step::Started(gateway));
+                self.add(at_ms, Step::KillGateway(gateway));
+                self.add(at_ms + 200 + pause_ms / 2, Step::StartGateway(gateway));
             }
             11 => {
-                self.add(at_ms, Step::Terminated(gateway));
-                self.add(at_ms + 8_500, Step::Started(gateway));
+                self.add(at_ms, Step::TerminateGateway(gateway));
+                self.add(at_ms + 8_500, Step::StartGateway(gateway));
             }
             12 => {
-                self.add(at_ms, Step::SettingsSpoiled(gateway));
-                self.add(at_ms + 50, Step::HungUp(gateway));
-                self.add(end_ms, Step::SettingsMended(gateway));
-                self.add(end_ms, Step::HungUp(gateway));
+                self.add(at_ms, Step::CorruptSettings(gateway));
+                self.add(at_ms + 50, Step::HangUpGateway(gateway));
+                self.add(end_ms, Step::RestoreSettings(gateway));
+                self.add(end_ms, Step::HangUpGateway(gateway));
             }
             13 => {
-                // Entries lapse after three renewals that didn't come.
-                self.add(at_ms, Step::EndpointBack(endpoint));
-                self.add(at_ms + 3_600, Step::EndpointLapsed(endpoint));
+                // Rows expire after three missed renewals.
+                self.add(at_ms, Step::ReplaceEndpoint(endpoint));
+                self.add(at_ms + 3_600, Step::RemoveStaleRows(endpoint));
             }
             _ => {
-                for number in 0..1 + self.below(4) {
-                    self.add(at_ms + number * 150, Step::Configured);
+                for number in 0..1 + self.random_below(4) {
+                    self.add(at_ms + number * 150, Step::PublishConfiguration);
                 }
             }
         }
     }
 
-    fn restart(&mut self) {
-        let at_ms = self.below(self.length_ms);
-        let endpoint = self.below(ENDPOINTS as u64) as usize;
-        let told_ms = at_ms + self.below(1_500);
-        match self.below(3) {
+    fn add_restart(&mut self) {
+        let at_ms = self.random_below(self.length_ms);
+        let endpoint = self.random_below(ENDPOINTS as u64) as usize;
+        let rewrite_ms = at_ms + self.random_below(1_500);
+        match self.random_below(3) {
             0 => {
-                self.add(at_ms, Step::EndpointStartsAgain(endpoint));
-                self.add(told_ms, Step::EndpointListed(endpoint));
+                self.add(at_ms, Step::RestartEndpoint(endpoint));
+                self.add(rewrite_ms, Step::RewriteEndpointRow(endpoint));
             }
             1 => {
-                for again in 0..3 {
-                    self.add(at_ms + again * 200, Step::EndpointStartsAgain(endpoint));
-                    self.add(at_ms + again * 200, Step::EndpointListed(endpoint));
+                for repeat in 0..3 {
+                    self.add(at_ms + repeat * 200, Step::RestartEndpoint(endpoint));
+                    self.add(at_ms + repeat * 200, Step::RewriteEndpointRow(endpoint));
                 }
             }
             _ => {
-                self.add(at_ms, Step::EndpointRowSpoilt(endpoint));
-                self.add(told_ms, Step::EndpointListed(endpoint));
+                self.add(at_ms, Step::CorruptEndpointRow(endpoint));
+                self.add(rewrite_ms, Step::RewriteEndpointRow(endpoint));
             }
         }
     }
 
-    fn need(&mut self) {
-        let at_ms = self.below(self.length_ms / 2);
-        let end_ms = at_ms + 2_000 + self.below(6_000);
-        let endpoint = self.below(ENDPOINTS as u64) as usize;
-        match self.below(4) {
+    fn add_backpressure(&mut self) {
+        let at_ms = self.random_below(self.length_ms / 2);
+        let end_ms = at_ms + 2_000 + self.random_below(6_000);
+        let endpoint = self.random_below(ENDPOINTS as u64) as usize;
+        match self.random_below(4) {
             0 | 1 => {
-                let tenths = self.below(60);
-                let limit = format!("Server-Limit: {}.{}\r\n", tenths / 10, tenths % 10);
-                self.add(at_ms, Step::EndpointSays(endpoint, limit));
-                self.add(end_ms, Step::EndpointSays(endpoint, String::new()));
+                let limit_tenths = self.random_below(60);
+                let limit = format!(
+                    "Server-Limit: {}.{}\r\n",
+                    limit_tenths / 10,
+                    limit_tenths % 10
+                );
+                self.add(at_ms, Step::SetEndpointHeaders(endpoint, limit));
+                self.add(end_ms, Step::SetEndpointHeaders(endpoint, String::new()));
             }
             2 => {
-                // The store hears it seconds later.
-                let leaves = "Server-Leaving: 1\r\n".to_string();
-                self.add(at_ms, Step::EndpointSays(endpoint, leaves));
-                self.add(end_ms, Step::EndpointLeaves(endpoint));
-                self.add(end_ms + 1_000, Step::EndpointGone(endpoint));
-                self.add(end_ms + 1_500, Step::EndpointBack(endpoint));
+                // The row in the store follows seconds after the header.
+                let leaving = "Server-Leaving: 1\r\n".to_string();
+                self.add(at_ms, Step::SetEndpointHeaders(endpoint, leaving));
+                self.add(end_ms, Step::DrainEndpoint(endpoint));
+                self.add(end_ms + 1_000, Step::RemoveEndpointRow(endpoint));
+                self.add(end_ms + 1_500, Step::ReplaceEndpoint(endpoint));
             }
             _ => {
-                let rest = format!("Retry-After: {}.5\r\n", 1 + self.below(3));
-                self.add(at_ms, Step::EndpointSays(endpoint, rest));
-                self.add(at_ms, Step::EndpointActs(endpoint, Behaviour::Refuse(None)));
-                self.add(end_ms, Step::EndpointSays(endpoint, String::new()));
-                self.add(end_ms, Step::EndpointWell(endpoint));
+                let retry_after = format!("Retry-After: {}.5\r\n", 1 + self.random_below(3));
+                self.add(at_ms, Step::SetEndpointHeaders(endpoint, retry_after));
+                self.add(
+                    at_ms,
+                    Step::SetEndpointBehaviour(endpoint, Behaviour::Refuse(None)),
+                );
+                self.add(end_ms, Step::SetEndpointHeaders(endpoint, String::new()));
+                self.add(end_ms, Step::ResetEndpointBehaviour(endpoint));
             }
         }
     }
 
-    fn path_fault(&mut self) -> PathFault {
-        let all = [
+    fn random_path_fault(&mut self) -> PathFault {
+        let choices = [
             PathFault::Delayed,
             PathFault::Refused,
             PathFault::Cut,
             PathFault::Silent,
             PathFault::SilentOneWay,
-            PathFault::Forgotten,
+            PathFault::OpenConnectionsSilent,
             PathFault::RepliesLost,
         ];
-        all[self.below(all.len() as u64) as usize]
+        choices[self.random_below(choices.len() as u64) as usize]
     }
 
-    fn act(&mut self) -> Behaviour {
-        let all = [
+    fn random_behaviour(&mut self) -> Behaviour {
+        let choices = [
             Behaviour::Fail,
             Behaviour::Hang,
             Behaviour::Reset,
@@ -277,6 +298,6 @@
             Behaviour::BreakAfter(3),
             Behaviour::Refuse(None),
         ];
-        all[self.below(all.len() as u64) as usize].clone()
+        choices[self.random_below(choices.len() as u64) as usize].clone()
     }
 }
