--- a/tests/account.rs
+++ b/tests/account.rs
@@ -1,4 +1,4 @@
-//! `marigoldstage account`: what a day came to, from logs alone.
+//! `marigoldstage account`: the summary of a day, from logs alone.
 
 mod common;
 
@@ -11,9 +11,9 @@
 use common::stdout;
 use rstest::rstest;
 
-/// Two hosts in two availability zones: short prompts on time and late, audits refused since engines didn't help, a call
-/// that was answered late, one with an unknown key, calls to the store and bytes.
-const DAY: &str = r#"
+/// Log of two hosts in two availability zones: short prompts on time and late, audits refused since helper engines
+/// refused, a late answer to an idempotent request, one with an unknown key, calls to the store, and bytes carried.
+const LOG: &str = r#"
 front-1 {"timestamp":"2026-05-30 03:20:20.000 +00:00","text":"started","kv":{"host":"front-1","zone":"north"}}
 front-2 {"timestamp":"2026-05-30 03:20:20.000 +00:00","text":"started","kv":{"host":"front-2","zone":"south"}}
 front-1 {"timestamp":"2026-05-30 03:20:20.100 +00:00","text":"the store is called","kv":{"topic":"endpoints","reason":"whole"}}
@@ -33,15 +33,15 @@
 front-1 {"timestamp":"2026-05-30 03:20:35.000 +00:00","text":"bytes carried","kv":{"requests":1000,"whole_messages":3000}}
 "#;
 
-/// A file of this test.
-fn file(name: &str) -> PathBuf {
+/// Path of a temporary file of this test process.
+fn temporary_file(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("account-{}-{name}", std::process::id()))
 }
 
-/// What is printed for a log, with these further arguments.
-fn account(name: &str, arguments: &[&str]) -> String {
-    let log = file(&format!("{name}.log"));
-    fs::write(&log, DAY).expect("a file");
+/// Runs the command on [`LOG`] with these further arguments, and returns its standard output.
+fn run_account(name: &str, arguments: &[&str]) -> String {
+    let log = temporary_file(&format!("{name}.log"));
+    fs::write(&log, LOG).expect("a file");
     let output = marigoldstage()
         .arg("account")
         .args(arguments)
@@ -55,40 +55,40 @@
 
 #[rstest]
 #[case::hosts_and_requests("6 requests at 2 hosts, 1 more that were not to be served")]
-#[case::a_kind_with_late_ones(
+#[case::a_kind_with_late_requests(
     "streaming 300/250 ms                    2    0.500    0.500    0.000    0.000    0.375"
 )]
-#[case::a_kind_that_was_refused(
+#[case::a_kind_with_refusals(
     "streaming 4000/1000 ms                  1    0.000    0.000    1.000"
 )]
-#[case::a_call_that_came_late("0.750      1 idempotent 120 ms: answered late")]
-#[case::its_cause("1.000      1 streaming 4000/1000 ms: refused: not_run")]
-#[case::who_refused("4 dispatches of 3 requests were refused since another endpoint didn't help: 3 at try 1, 1 at try 2")]
-#[case::how_often(
+#[case::a_late_answer("0.750      1 idempotent 120 ms: answered late")]
+#[case::the_cause_of_a_refusal("1.000      1 streaming 4000/1000 ms: refused: not_run")]
+#[case::dispatches_refused_for_a_helper("4 dispatches of 3 requests were refused since another endpoint didn't help: 3 at try 1, 1 at try 2")]
+#[case::refusals_by_helper(
     "3 times by i-9, 2 hosts, 1 times one that it had refused before, 9.0 s to 10.0 s"
 )]
-#[case::a_zone("south                                   2")]
-#[case::calls("2 endpoints: whole")]
-#[case::bytes("8 requests")]
-fn the_first_page_tells(#[case] words: &str) {
-    let name: String = words.chars().filter(char::is_ascii_alphanumeric).collect();
-    let text = account(&name, &[]);
-    assert!(text.contains(words), "{words:?} in {text}");
+#[case::requests_by_zone("south                                   2")]
+#[case::store_calls("2 endpoints: whole")]
+#[case::bytes_carried("8 requests")]
+fn the_summary_contains(#[case] phrase: &str) {
+    let name: String = phrase.chars().filter(char::is_ascii_alphanumeric).collect();
+    let text = run_account(&name, &[]);
+    assert!(text.contains(phrase), "{phrase:?} in {text}");
 }
 
 #[test]
-fn a_spreadsheet_and_a_drawing_are_written() {
-    let (rows, drawing) = (file("rows.csv"), file("drawing.svg"));
-    let path = |file: &PathBuf| file.to_str().expect("a path").to_string();
-    account("files", &["--csv", &path(&rows), "--plot", &path(&drawing)]);
+fn a_csv_file_and_a_plot_are_written() {
+    let (rows, plot) = (temporary_file("rows.csv"), temporary_file("drawing.svg"));
+    let path = |temporary: &PathBuf| temporary.to_str().expect("a path").to_string();
+    run_account("files", &["--csv", &path(&rows), "--plot", &path(&plot)]);
     let text = fs::read_to_string(&rows).expect("rows");
     fs::remove_file(&rows).expect("the file");
     assert!(
         text.contains("9,streaming 4000/1000 ms,over 100k,north,refused: not_run,1,1.000,1.000"),
         "{text}"
     );
-    let svg = fs::read_to_string(&drawing).expect("a drawing");
-    fs::remove_file(&drawing).expect("the file");
+    let svg = fs::read_to_string(&plot).expect("a plot");
+    fs::remove_file(&plot).expect("the file");
     assert!(
         svg.contains("<svg") && svg.contains("streaming 300/250 ms"),
         "{svg}"
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line as a newcomer meets it: help, errors, exit codes, completions.
+//! The command line interface: help, errors, exit codes and shell completions.
 
 #![cfg(feature = "demo")]
 
@@ -15,7 +15,8 @@
 use mgs_standin::platform::Platform;
 use rstest::rstest;
 
-const SERVING: [&str; 2] = ["gateway", "sidecar"];
+/// Subcommands that run a server.
+const SERVING_ROLES: [&str; 2] = ["gateway", "sidecar"];
 
 #[test]
 fn help_names_every_subcommand_and_exit_code() {
@@ -56,7 +57,7 @@
 #[case("standin")]
 #[case("completions")]
 #[case("quarantine")]
-fn every_subcommand_teaches_by_examples(#[case] name: &str) {
+fn the_help_of_every_subcommand_has_examples(#[case] name: &str) {
     let output = run(&[name, "--help"]);
     assert_eq!(code(&output), 0);
     let text = stdout(&output);
@@ -65,8 +66,8 @@
 }
 
 #[test]
-fn every_setting_of_a_role_has_its_variable() {
-    for name in SERVING {
+fn every_setting_of_a_role_has_an_environment_variable() {
+    for name in SERVING_ROLES {
         let text = stdout(&run(&[name, "--help"]));
         let flags = text.split_whitespace().filter(|word| {
             word.starts_with("--") && word[2..].starts_with(|c: char| c.is_ascii_lowercase())
@@ -89,14 +90,18 @@
 #[case(&["standin"], 2, "Usage")]
 #[case(&["status", "--admin-address", "here"], 2, "--admin-address")]
 #[case(&["--version"], 0, "")]
-fn usage_errors_exit_with_2(#[case] arguments: &[&str], #[case] wanted: i32, #[case] says: &str) {
+fn usage_errors_exit_with_2(
+    #[case] arguments: &[&str],
+    #[case] expected_code: i32,
+    #[case] message: &str,
+) {
     let output = run(arguments);
-    assert_eq!(code(&output), wanted, "{}", stderr(&output));
-    assert!(stderr(&output).contains(says), "{}", stderr(&output));
+    assert_eq!(code(&output), expected_code, "{}", stderr(&output));
+    assert!(stderr(&output).contains(message), "{}", stderr(&output));
 }
 
 #[test]
-fn all_wrong_settings_are_reported_at_once() {
+fn all_invalid_settings_are_reported_at_once() {
     let output = marigoldstage()
         .args(["sidecar", "--listen", "here", "--drain-ms", "-3"])
         .args(["--log-level", "loud", "--name", " "])
@@ -139,11 +144,11 @@
     "from 1024 to 1073741824"
 )]
 #[case("demo", "--time-scale", "0", "from 0.01 to 1000")]
-fn a_fault_says_what_to_give_instead(
+fn an_error_of_a_setting_says_what_is_valid(
     #[case] command: &str,
     #[case] flag: &str,
     #[case] given: &str,
-    #[case] advice: &str,
+    #[case] hint: &str,
 ) {
     let mut arguments = vec![command, flag, given];
     if command == "sidecar" {
@@ -153,11 +158,11 @@
     assert_eq!(code(&output), 2, "{}", stderr(&output));
     let text = stderr(&output);
     assert!(text.contains("a setting is wrong"), "{text}");
-    assert!(text.contains(flag) && text.contains(advice), "{text}");
+    assert!(text.contains(flag) && text.contains(hint), "{text}");
 }
 
 #[test]
-fn a_flag_goes_before_its_variable() {
+fn a_flag_overrides_its_environment_variable() {
     let output = marigoldstage()
         .args(["sidecar", "--name", "a", "--drain-ms", "5", "--listen", "x"])
         .env("MARIGOLDSTAGE_DRAIN_MS", "soon")
@@ -170,8 +175,8 @@
 
 #[test]
 fn a_taken_port_fails_with_the_address_in_the_message() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = taken.local_addr().unwrap().to_string();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
     for name in ["platform", "service", "engine"] {
         let output = run(&["standin", name, "--listen", &address]);
         assert_eq!(code(&output), 1);
@@ -180,7 +185,7 @@
 }
 
 #[test]
-fn a_reader_that_has_read_enough_is_no_error() {
+fn a_closed_output_pipe_is_no_error() {
     let mut child = marigoldstage()
         .args(["completions", "bash"])
         .stdout(Stdio::piped())
@@ -194,9 +199,9 @@
 
 #[test]
 fn status_of_a_closed_port_is_unavailable() {
-    let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = closed.local_addr().unwrap().to_string();
-    drop(closed);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    drop(listener);
     let output = run(&["status", "--admin-address", &address]);
     assert_eq!(code(&output), 4);
     assert!(stdout(&output).contains("silent"), "{}", stdout(&output));
@@ -221,7 +226,7 @@
 #[case("fish")]
 #[case("elvish")]
 #[case("powershell")]
-fn completions_know_the_subcommands(#[case] shell: &str) {
+fn completions_contain_the_subcommands(#[case] shell: &str) {
     let output = run(&["completions", shell]);
     assert_eq!(code(&output), 0);
     let text = stdout(&output);
--- a/tests/command_request.rs
+++ b/tests/command_request.rs
@@ -1,4 +1,4 @@
-//! `marigoldstage request` against a platform that holds durable requests.
+//! `marigoldstage request` against a platform that stores durable requests.
 
 mod common;
 
@@ -42,6 +42,7 @@
     }
 }
 
+/// A platform with one queued and one answered request.
 fn platform() -> Platform {
     let platform = Platform::start(platform::Options::default()).unwrap();
     let mut done = Done::without_answer(Ending::Answered, "");
@@ -57,16 +58,16 @@
     platform
 }
 
-fn request(platform: &Platform, words: &[&str]) -> Output {
+fn request(platform: &Platform, request_arguments: &[&str]) -> Output {
     let mut arguments = vec!["request"];
-    arguments.extend(words);
+    arguments.extend(request_arguments);
     let url = platform.url();
     arguments.extend(["--platform", &url]);
     run(&arguments)
 }
 
 #[test]
-fn list_shows_where_requests_stand() {
+fn list_shows_the_states_of_requests() {
     let platform = platform();
     let all = stdout(&request(&platform, &["list"]));
     assert!(all.contains(QUEUED) && all.contains("queued"), "{all}");
@@ -74,8 +75,11 @@
         all.contains(ANSWERED) && all.contains("2 requests"),
         "{all}"
     );
-    let some = stdout(&request(&platform, &["list", "--organisation", "org-1"]));
-    assert!(some.contains(QUEUED) && !some.contains(ANSWERED), "{some}");
+    let filtered = stdout(&request(&platform, &["list", "--organisation", "org-1"]));
+    assert!(
+        filtered.contains(QUEUED) && !filtered.contains(ANSWERED),
+        "{filtered}"
+    );
     let json = stdout(&request(
         &platform,
         &["list", "--state", "answered", "--json"],
@@ -86,7 +90,7 @@
 }
 
 #[test]
-fn show_gives_a_request_and_its_answer() {
+fn show_prints_a_request_and_its_answer() {
     let platform = platform();
     let shown = stdout(&request(&platform, &["show", QUEUED]));
     assert!(
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn cancel_ends_what_waits() {
+fn cancel_ends_a_queued_request() {
     let platform = platform();
     let output = request(&platform, &["cancel", QUEUED]);
     assert_eq!(code(&output), 0, "{}", stderr(&output));
--- a/tests/command_table.rs
+++ b/tests/command_table.rs
@@ -1,4 +1,4 @@
-//! The operators' commands against a platform, with lost replies, outages and races.
+//! The commands that edit the settings table, with lost replies, outages and concurrent edits.
 
 mod common;
 
@@ -24,11 +24,12 @@
 use mgs_standin::platform;
 use mgs_standin::platform::Platform;
 
-struct Shell {
+/// Runs commands against a stand-in platform.
+struct Cli {
     platform: Platform,
 }
 
-impl Shell {
+impl Cli {
     fn new() -> Self {
         let platform = Platform::start(platform::Options::default()).unwrap();
         Self { platform }
@@ -38,7 +39,7 @@
         self.run_with(line, "")
     }
 
-    /// Runs a command line, its words separated by spaces, with text on standard input.
+    /// Runs a command line, split at spaces, with text on standard input.
     fn run_with(&self, line: &str, input: &str) -> Output {
         let mut child = marigoldstage()
             .args(line.split(' '))
@@ -50,19 +51,20 @@
             .spawn()
             .unwrap();
         let mut stdin = child.stdin.take().unwrap();
-        // A command that reads no input may have closed it.
+        // Fails if the command has ended without reading its input.
         let _ = stdin.write_all(input.as_bytes());
         drop(stdin);
         child.wait_with_output().unwrap()
     }
 
-    /// Runs a command line that must succeed, and gives what it printed.
-    fn ok(&self, line: &str) -> String {
+    /// Runs a command line that must succeed, and returns its standard output.
+    fn run_ok(&self, line: &str) -> String {
         let output = self.run(line);
         assert_eq!(code(&output), 0, "{line}: {}", stderr(&output));
         stdout(&output)
     }
 
+    /// The current settings table.
     fn table(&self) -> Table {
         let memory = self.platform.memory().as_ref();
         let store = Store {
@@ -88,24 +90,24 @@
 
 #[test]
 fn rows_are_set_shown_and_removed() {
-    let shell = Shell::new();
-    assert!(shell.ok("table set * * weight=2").contains("version 1"));
-    shell.ok("organisation create org-1");
-    shell.ok("table set org-1 chat priority=0 allotted_ms=4000 models=m1");
-    assert!(shell.ok("table get org-1 chat").contains("4000"));
-    assert!(shell.ok("table get org-1 batch").contains("*"));
-    assert!(shell
-        .ok("table set org-1 chat priority=0")
+    let cli = Cli::new();
+    assert!(cli.run_ok("table set * * weight=2").contains("version 1"));
+    cli.run_ok("organisation create org-1");
+    cli.run_ok("table set org-1 chat priority=0 allotted_ms=4000 models=m1");
+    assert!(cli.run_ok("table get org-1 chat").contains("4000"));
+    assert!(cli.run_ok("table get org-1 batch").contains("*"));
+    assert!(cli
+        .run_ok("table set org-1 chat priority=0")
         .contains("nothing changes"));
-    assert!(shell.ok("table show").contains("2 rows, table version 3"));
-    shell.ok("table remove org-1 chat");
-    assert_eq!(shell.table().snapshot().limits.len(), 1);
+    assert!(cli.run_ok("table show").contains("2 rows, table version 3"));
+    cli.run_ok("table remove org-1 chat");
+    assert_eq!(cli.table().snapshot().limits.len(), 1);
 }
 
 #[test]
-fn every_fault_is_told_and_nothing_changed() {
-    let shell = Shell::new();
-    let output = shell.run("table set nobody * weight=0 priority=12");
+fn all_faults_are_reported_and_nothing_is_changed() {
+    let cli = Cli::new();
+    let output = cli.run("table set nobody * weight=0 priority=12");
     assert_eq!(code(&output), 2);
     for column in ["organisation", "weight", "priority"] {
         assert!(
@@ -113,178 +115,178 @@
             "{column}"
         );
     }
-    let output = shell.run("table set * * weight=x colour=blue");
+    let output = cli.run("table set * * weight=x colour=blue");
     assert_eq!(code(&output), 2);
     assert!(stderr(&output).contains("2 faults"));
-    assert_eq!(shell.table().version(), 0);
+    assert_eq!(cli.table().version(), 0);
 }
 
 #[test]
-fn a_sheet_goes_to_the_spreadsheet_and_back() {
-    let shell = Shell::new();
-    shell.ok("table set * * weight=2");
-    shell.ok("table set * batch weight=3");
-    let sheet = shell.ok("table export limits");
+fn an_exported_sheet_is_edited_and_applied() {
+    let cli = Cli::new();
+    cli.run_ok("table set * * weight=2");
+    cli.run_ok("table set * batch weight=3");
+    let sheet = cli.run_ok("table export limits");
     let sheet = sheet.replace("*,batch,3", "*,batch,9");
-    let output = shell.run_with("table diff limits -", &sheet);
+    let output = cli.run_with("table diff limits -", &sheet);
     assert!(stdout(&output).contains(r#"~ limit */batch weight: "3" -> "9""#));
-    assert_eq!(shell.table().version(), 2);
-    let output = shell.run_with("table apply limits -", &sheet);
+    assert_eq!(cli.table().version(), 2);
+    let output = cli.run_with("table apply limits -", &sheet);
     assert_eq!(code(&output), 0, "{}", stderr(&output));
-    assert_eq!(shell.table().limit("*", "batch").unwrap().weight, 9);
-    let output = shell.run_with("table edit limits -", "kind,organisation,weight\n*,*,4\n");
+    assert_eq!(cli.table().limit("*", "batch").unwrap().weight, 9);
+    let output = cli.run_with("table edit limits -", "kind,organisation,weight\n*,*,4\n");
     assert_eq!(code(&output), 0, "{}", stderr(&output));
-    assert_eq!(shell.table().snapshot().limits.len(), 2);
+    assert_eq!(cli.table().snapshot().limits.len(), 2);
 }
 
 #[test]
-fn two_operators_with_one_sheet_get_a_conflict_that_shows_both_values() {
-    let shell = Shell::new();
-    shell.ok("table set * * weight=2");
-    let sheet = shell.ok("table export limits");
-    shell.ok("table set * * weight=5");
-    let output = shell.run_with("table apply limits -", &sheet.replace("*,*,2", "*,*,7"));
+fn concurrent_edits_of_a_sheet_conflict_and_both_values_are_shown() {
+    let cli = Cli::new();
+    cli.run_ok("table set * * weight=2");
+    let sheet = cli.run_ok("table export limits");
+    cli.run_ok("table set * * weight=5");
+    let output = cli.run_with("table apply limits -", &sheet.replace("*,*,2", "*,*,7"));
     assert_eq!(code(&output), 3);
     assert!(stderr(&output).contains("weight=5"));
     assert!(stderr(&output).contains("weight=7"));
-    assert_eq!(shell.table().limit("*", "*").unwrap().weight, 5);
+    assert_eq!(cli.table().limit("*", "*").unwrap().weight, 5);
 }
 
 #[test]
-fn rows_that_an_old_sheet_left_as_they_were_keep_what_others_made_of_them() {
-    let shell = Shell::new();
-    shell.ok("table set * * weight=2");
-    shell.ok("table set * batch weight=3");
-    let sheet = shell.ok("table export limits");
-    shell.ok("table set * * weight=5");
-    let output = shell.run_with(
+fn rows_unchanged_in_an_old_sheet_keep_the_edits_of_others() {
+    let cli = Cli::new();
+    cli.run_ok("table set * * weight=2");
+    cli.run_ok("table set * batch weight=3");
+    let sheet = cli.run_ok("table export limits");
+    cli.run_ok("table set * * weight=5");
+    let output = cli.run_with(
         "table apply limits -",
         &sheet.replace("*,batch,3", "*,batch,4"),
     );
     assert_eq!(code(&output), 0, "{}", stderr(&output));
-    let table = shell.table();
+    let table = cli.table();
     let weight = |kind| table.limit("*", kind).unwrap().weight;
     assert_eq!((weight("*"), weight("batch")), (5, 4));
 }
 
 #[test]
-fn lost_replies_are_settled_and_outages_told() {
-    let shell = Shell::new();
-    shell.platform.faults().lose_next_replies(1);
-    assert!(shell
-        .ok("table set * * weight=2")
+fn lost_replies_are_resolved_and_outages_reported() {
+    let cli = Cli::new();
+    cli.platform.faults().lose_next_replies(1);
+    assert!(cli
+        .run_ok("table set * * weight=2")
         .contains("accepted before as version 1"));
-    shell.platform.faults().set_outage(true);
-    let output = shell.run("table set * * weight=3");
+    cli.platform.faults().set_outage(true);
+    let output = cli.run("table set * * weight=3");
     assert_eq!(code(&output), 4);
-    shell.platform.faults().set_outage(false);
-    assert_eq!(shell.table().version(), 1);
+    cli.platform.faults().set_outage(false);
+    assert_eq!(cli.table().version(), 1);
 }
 
 #[test]
-fn an_edit_tried_again_by_its_identifier_is_made_once() {
-    let shell = Shell::new();
-    shell.ok("table set * * weight=2 --edit-id one");
-    let again = shell.ok("table set * * weight=2 --edit-id one");
+fn an_edit_retried_with_its_identifier_is_applied_once() {
+    let cli = Cli::new();
+    cli.run_ok("table set * * weight=2 --edit-id one");
+    let again = cli.run_ok("table set * * weight=2 --edit-id one");
     assert!(again.contains("accepted before as version 1"));
-    assert_eq!(shell.table().version(), 1);
+    assert_eq!(cli.table().version(), 1);
 }
 
 #[test]
-fn the_history_says_who_when_and_from_what() {
-    let shell = Shell::new();
-    shell.ok("table set * * weight=2");
-    shell.ok("table set * * weight=3 --author ion");
-    let history = shell.ok("table history");
+fn the_history_shows_author_time_and_base_version() {
+    let cli = Cli::new();
+    cli.run_ok("table set * * weight=2");
+    cli.run_ok("table set * * weight=3 --author ion");
+    let history = cli.run_ok("table history");
     assert!(history.contains("by ana  based on 0"));
     assert!(history.contains("by ion  based on 1"));
     assert!(history.contains(" UTC "));
-    assert!(!shell.ok("table history --last 1").contains("by ana"));
-    let json = shell.ok("table history --since 1 --json");
+    assert!(!cli.run_ok("table history --last 1").contains("by ana"));
+    let json = cli.run_ok("table history --since 1 --json");
     let edits: Vec<serde_json::Value> = serde_json::from_str(&json).unwrap();
     assert_eq!(edits[0]["author"], "ion");
 }
 
 #[test]
 fn a_key_is_printed_once_and_only_its_digest_kept() {
-    let shell = Shell::new();
-    let printed = shell.ok("organisation create org-1");
+    let cli = Cli::new();
+    let printed = cli.run_ok("organisation create org-1");
     let key = printed.split_whitespace().last().unwrap();
     assert!(key.starts_with("mgs_"));
-    assert_eq!(shell.table().organisation_of(key).unwrap().name, "org-1");
+    assert_eq!(cli.table().organisation_of(key).unwrap().name, "org-1");
     for line in [
         "organisation list",
         "table export organisations",
         "table history",
     ] {
-        assert!(!shell.ok(line).contains(key));
+        assert!(!cli.run_ok(line).contains(key));
     }
-    let second = shell.ok("organisation key org-1");
+    let second = cli.run_ok("organisation key org-1");
     let second = second.split_whitespace().last().unwrap();
     let digest = mgs_settings::table::key_digest(key);
-    shell.ok(&format!("organisation key org-1 --revoke {}", &digest[..8]));
-    assert!(shell.table().organisation_of(key).is_none());
-    assert!(shell.table().organisation_of(second).is_some());
+    cli.run_ok(&format!("organisation key org-1 --revoke {}", &digest[..8]));
+    assert!(cli.table().organisation_of(key).is_none());
+    assert!(cli.table().organisation_of(second).is_some());
 }
 
 #[test]
 fn endpoints_are_declared_started_and_stopped() {
-    let shell = Shell::new();
-    shell.ok("endpoint set e1 kind=engine sidecar_address=10.0.0.1:7300 zone=a models=m");
-    shell.ok("endpoint stop e1");
-    assert!(!shell.table().endpoint("e1").unwrap().started);
-    shell.ok("endpoint start e1");
-    assert!(shell.table().endpoint("e1").unwrap().started);
-    assert!(shell.ok("endpoint list").contains("10.0.0.1:7300"));
-    assert_eq!(code(&shell.run("endpoint stop e2")), 2);
-    shell.ok("endpoint remove e1");
-    assert!(shell.table().endpoint("e1").is_none());
+    let cli = Cli::new();
+    cli.run_ok("endpoint set e1 kind=engine sidecar_address=10.0.0.1:7300 zone=a models=m");
+    cli.run_ok("endpoint stop e1");
+    assert!(!cli.table().endpoint("e1").unwrap().started);
+    cli.run_ok("endpoint start e1");
+    assert!(cli.table().endpoint("e1").unwrap().started);
+    assert!(cli.run_ok("endpoint list").contains("10.0.0.1:7300"));
+    assert_eq!(code(&cli.run("endpoint stop e2")), 2);
+    cli.run_ok("endpoint remove e1");
+    assert!(cli.table().endpoint("e1").is_none());
 }
 
 #[test]
 fn an_exported_table_is_imported_elsewhere() {
-    let shell = Shell::new();
-    shell.ok("organisation create org-1");
-    shell.ok("table set org-1 * weight=4");
-    shell.ok("endpoint set e1 kind=engine sidecar_address=10.0.0.1:7300 zone=a models=m");
+    let cli = Cli::new();
+    cli.run_ok("organisation create org-1");
+    cli.run_ok("table set org-1 * weight=4");
+    cli.run_ok("endpoint set e1 kind=engine sidecar_address=10.0.0.1:7300 zone=a models=m");
     let file = std::env::temp_dir().join(format!("mgs-import-{}.json", std::process::id()));
-    std::fs::write(&file, shell.ok("table export --json")).unwrap();
-    let other = Shell::new();
+    std::fs::write(&file, cli.run_ok("table export --json")).unwrap();
+    let other_cli = Cli::new();
     let line = format!("table import limits {}", file.display());
-    assert!(other.ok(&line).contains("3 rows imported"));
-    assert!(other.ok(&line).contains("0 rows imported"));
+    assert!(other_cli.run_ok(&line).contains("3 rows imported"));
+    assert!(other_cli.run_ok(&line).contains("0 rows imported"));
     std::fs::remove_file(&file).unwrap();
-    let rows = |shell: &Shell| shell.table().rows().into_iter().map(|r| r.at_version(0));
-    assert!(rows(&shell).eq(rows(&other)));
+    let rows = |cli: &Cli| cli.table().rows().into_iter().map(|r| r.at_version(0));
+    assert!(rows(&cli).eq(rows(&other_cli)));
 }
 
 #[test]
-fn waiting_names_who_has_not_confirmed() {
-    let shell = Shell::new();
+fn waiting_reports_members_that_have_not_confirmed() {
+    let cli = Cli::new();
     let gateway = Member {
         incarnation: 1,
         ..Member::default()
     };
-    shell.put_json(&member::key(Role::Gateway, "g1"), &gateway);
+    cli.put_json(&member::key(Role::Gateway, "g1"), &gateway);
     let confirmed = |version| Confirmation {
         incarnation: 1,
         version: 1,
         sidecars: [("e1".to_string(), version)].into(),
     };
-    shell.put_json(&confirm::key("g1"), &confirmed(0));
-    let output = shell.run("table set * * weight=2 --wait --wait-ms 1");
+    cli.put_json(&confirm::key("g1"), &confirmed(0));
+    let output = cli.run("table set * * weight=2 --wait --wait-ms 1");
     assert_eq!(code(&output), 6);
     assert!(stderr(&output).contains("sidecar e1"));
     assert!(!stderr(&output).contains("gateway g1"));
-    let output = shell.run("table set * * weight=3 --wait --wait-ms 1");
+    let output = cli.run("table set * * weight=3 --wait --wait-ms 1");
     assert!(stderr(&output).contains("gateway g1"));
-    shell.put_json(
+    cli.put_json(
         &confirm::key("g1"),
         &Confirmation {
             version: 9,
             ..confirmed(9)
         },
     );
-    let output = shell.ok("table set * * weight=4 --wait");
+    let output = cli.run_ok("table set * * weight=4 --wait");
     assert!(output.contains("in force at 1 gateways and 1 sidecars"));
 }
--- a/tests/common/cluster.rs
+++ b/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! What the tests with real processes share: sidecars and the first table.
+//! Sidecars and the initial settings table, shared by tests with real processes.
 
 use std::net::SocketAddr;
 
@@ -17,10 +17,10 @@
 
 use super::process::Process;
 
-/// Bearer key of the only organisation.
-pub(crate) const KEY: &str = "key-of-org-1";
+/// API key of the only organisation, sent as a bearer token.
+pub(crate) const API_KEY: &str = "key-of-org-1";
 
-/// A free port.
+/// Listen address with a port that the system chooses.
 pub(crate) const ANY_PORT: &str = "127.0.0.1:0";
 
 /// Starts the sidecar of an endpoint.
@@ -30,7 +30,7 @@
     url: &str,
     platform: &str,
 ) -> (Process, SocketAddr) {
-    Process::role(
+    Process::start_role(
         "sidecar",
         &[
             "--name",
@@ -49,12 +49,17 @@
     )
 }
 
-/// The row of an endpoint.
-pub(crate) fn endpoint(name: &str, kind: EndpointKind, at: SocketAddr, model: &str) -> EndpointRow {
+/// A row for an endpoint that serves one model.
+pub(crate) fn endpoint_row(
+    name: &str,
+    kind: EndpointKind,
+    sidecar_address: SocketAddr,
+    model: &str,
+) -> EndpointRow {
     EndpointRow {
         name: name.to_string(),
         kind: kind.into(),
-        sidecar_address: at.to_string(),
+        sidecar_address: sidecar_address.to_string(),
         zone: "zone-1".to_string(),
         models: vec![model.to_string()],
         started: true,
@@ -62,15 +67,15 @@
     }
 }
 
-/// Writes the table's first version.
-pub(crate) fn write_table(platform_url: &str, endpoints: &[EndpointRow]) {
+/// Writes the first version of the table: one organisation, one limit for all, and these endpoints.
+pub(crate) fn write_initial_table(platform_url: &str, endpoints: &[EndpointRow]) {
     let client = http::Client::new(http::Options {
         base_url: platform_url.to_string(),
         ..http::Options::default()
     });
     let organisation = OrganisationRow {
         name: "org-1".to_string(),
-        key_digests: vec![key_digest(KEY)],
+        key_digests: vec![key_digest(API_KEY)],
         version: 0,
     };
     let limit = LimitRow {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the binary.
+//! Runs the binary, and waits for conditions.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -13,10 +13,10 @@
 
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time between looks at what is waited for.
-pub(crate) const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which [`wait_until`] checks its condition.
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The binary with an environment that holds none of its variables.
+/// A command for the binary, without the `MARIGOLDSTAGE_` variables of the environment.
 pub(crate) fn marigoldstage() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_marigoldstage"));
     for (name, _) in std::env::vars() {
@@ -27,43 +27,43 @@
     command
 }
 
-/// Runs the binary to its end.
+/// Runs the binary until it exits.
 pub(crate) fn run(arguments: &[&str]) -> Output {
     marigoldstage().args(arguments).output().unwrap()
 }
 
-/// Writes a first row, without which no gateway has a table to serve by.
+/// Writes a first row, since a gateway without a table serves nothing.
 pub(crate) fn write_first_row(platform_url: &str) {
     let row = ["table", "set", "*", "*", "weight=1"];
     let edit = run(&[&row, &["--platform", platform_url][..]].concat());
     assert_eq!(code(&edit), 0, "{}{}", stdout(&edit), stderr(&edit));
 }
 
-/// Exit code of an ended process.
+/// Exit code of a process that ended.
 pub(crate) fn code(output: &Output) -> i32 {
     output.status.code().unwrap()
 }
 
-/// What was written to standard error.
+/// Standard error as text.
 pub(crate) fn stderr(output: &Output) -> String {
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
-/// What was written to standard output.
+/// Standard output as text.
 pub(crate) fn stdout(output: &Output) -> String {
     String::from_utf8(output.stdout.clone()).unwrap()
 }
 
-/// Waits for an event that must come.
-pub(crate) fn wait_until(what: &str, holds: impl FnMut() -> bool) {
-    wait_at_most(WAIT_TIMEOUT, what, holds);
+/// Waits until a condition holds; panics after a minute.
+pub(crate) fn wait_until(event: &str, condition: impl FnMut() -> bool) {
+    wait_at_most(WAIT_TIMEOUT, event, condition);
 }
 
-/// Waits for an event that must come within `timeout`.
-pub(crate) fn wait_at_most(timeout: Duration, what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds; panics after `timeout`.
+pub(crate) fn wait_at_most(timeout: Duration, event: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + timeout;
-    while !holds() {
-        assert!(Instant::now() < end, "waited too long for {what}");
-        thread::sleep(LOOK_INTERVAL);
+    while !condition() {
+        assert!(Instant::now() < end, "waited too long for {event}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the binary that end with the test.
+//! Processes of the binary that are killed at the end of a test.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -24,24 +24,24 @@
 const END_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A child process that is killed when dropped.
-pub(crate) struct Killed(pub(crate) Child);
+pub(crate) struct KillOnDrop(pub(crate) Child);
 
-impl Killed {
-    /// Starts the command without output.
+impl KillOnDrop {
+    /// Starts a command and discards its output.
     pub(crate) fn silent(command: &mut Command) -> Self {
         let command = command.stdout(Stdio::null()).stderr(Stdio::null());
         Self(command.spawn().unwrap())
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub(crate) fn has_ended(&mut self) -> bool {
         self.0.try_wait().unwrap().is_some()
     }
 }
 
-impl Drop for Killed {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already ended.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
@@ -49,22 +49,22 @@
 
 /// A running process of the binary.
 pub(crate) struct Process {
-    child: Killed,
-    log: Receiver<Value>,
+    child: KillOnDrop,
+    log_lines: Receiver<Value>,
 }
 
 impl Process {
-    /// Starts a role on free ports and waits until its log says that it has started.
-    pub(crate) fn role(name: &str, arguments: &[&str]) -> (Self, SocketAddr) {
+    /// Starts a role, waits until it logs that it has started, and returns the address from that log line.
+    pub(crate) fn start_role(name: &str, arguments: &[&str]) -> (Self, SocketAddr) {
         let mut process = Self::spawn(name, arguments);
         let started = format!("{name} started");
-        let line = process.wait_for_log(&started);
-        let address = line["kv"]["address"].as_str().unwrap().parse().unwrap();
+        let log_line = process.wait_for_log(&started);
+        let address = log_line["kv"]["address"].as_str().unwrap().parse().unwrap();
         (process, address)
     }
 
-    /// Starts a stand-in on a free port and reads its base address.
-    pub(crate) fn standin(kind: &str, arguments: &[&str]) -> (Self, String) {
+    /// Starts a stand-in on a free port and returns its base URL, which it prints first.
+    pub(crate) fn start_standin(kind: &str, arguments: &[&str]) -> (Self, String) {
         let arguments = [&[kind, "--listen", "127.0.0.1:0"], arguments].concat();
         let mut process = Self::spawn("standin", &arguments);
         let stdout = process.child.0.stdout.take().unwrap();
@@ -82,24 +82,24 @@
             .spawn()
             .unwrap();
         let stderr = child.stderr.take().unwrap();
-        let (line, log) = mpsc::channel();
+        let (log_sender, log_lines) = mpsc::channel();
         thread::spawn(move || {
             for text in BufReader::new(stderr).lines().map_while(Result::ok) {
-                // The test may have ended; the pipe is still emptied.
-                let _ = line.send(serde_json::from_str(&text).unwrap_or(Value::String(text)));
+                // Fails after the end of the test; the pipe is still drained, so that the process is not blocked.
+                let _ = log_sender.send(serde_json::from_str(&text).unwrap_or(Value::String(text)));
             }
         });
-        let child = Killed(child);
-        Self { child, log }
+        let child = KillOnDrop(child);
+        Self { child, log_lines }
     }
 
-    /// Waits for a line of the log with this text.
+    /// Waits for a log line with this text and returns it.
     pub(crate) fn wait_for_log(&mut self, text: &str) -> Value {
         loop {
-            let line = self.log.recv_timeout(START_TIMEOUT);
-            let line = line.unwrap_or_else(|_| panic!("no {text:?} in the log"));
-            if line["text"] == text {
-                return line;
+            let log_line = self.log_lines.recv_timeout(START_TIMEOUT);
+            let log_line = log_line.unwrap_or_else(|_| panic!("no {text:?} in the log"));
+            if log_line["text"] == text {
+                return log_line;
             }
         }
     }
@@ -109,7 +109,7 @@
         kill_process(Pid::from_child(&self.child.0), Signal::TERM).unwrap();
     }
 
-    /// Waits for its end.
+    /// Waits until the process ends.
     pub(crate) fn wait(&mut self) -> ExitStatus {
         let end = Instant::now() + END_TIMEOUT;
         loop {
--- a/tests/demo.rs
+++ b/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration as a newcomer runs it.
+//! `marigoldstage demo`: its summary, and the `curl` line that it prints.
 
 #![cfg(feature = "demo")]
 
@@ -15,7 +15,8 @@
 use common::stdout;
 use serde_json::Value;
 
-const FAST: [&str; 6] = [
+/// Options for a short run.
+const FAST_OPTIONS: [&str; 6] = [
     "--load-ms",
     "1500",
     "--requests-per-s",
@@ -26,7 +27,7 @@
 
 #[test]
 fn every_request_has_an_outcome_and_none_runs_twice() {
-    let output = run(&[&["demo"], &FAST[..]].concat());
+    let output = run(&[&["demo"], &FAST_OPTIONS[..]].concat());
     let text = stdout(&output);
     assert_eq!(code(&output), 0, "{text}{}", stderr(&output));
     assert!(text.contains("time to first token"), "{text}");
@@ -51,14 +52,14 @@
         .unwrap();
     let lines = BufReader::new(demo.stdout.take().unwrap()).lines();
     let line = lines.map(Result::unwrap).find(|l| l.starts_with("curl "));
-    let answer = send_as_curl(&line.unwrap());
+    let response = send_as_curl(&line.unwrap());
     demo.kill().unwrap();
     demo.wait().unwrap();
-    assert!(answer.contains("data: {"), "{answer}");
-    assert!(answer.trim_end().ends_with("data: [DONE]"), "{answer}");
+    assert!(response.contains("data: {"), "{response}");
+    assert!(response.trim_end().ends_with("data: [DONE]"), "{response}");
 }
 
-/// Does what curl does with a line of quoted words: address, headers, body.
+/// Sends the request of a `curl` command line whose arguments are in single quotes, and returns the response body.
 fn send_as_curl(line: &str) -> String {
     let words: Vec<&str> = line.split('\'').collect();
     let url = words[0].split(' ').find(|word| word.starts_with("http://"));
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `marigoldstage explain`: the cause of a failed request, from logs alone.
+//! `marigoldstage explain`: the causes of failed and late requests, from logs alone.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use common::stdout;
 use rstest::rstest;
 
-/// Lines as gateways write them, of several requests and hosts, with lines of other processes between.
+/// Log lines of gateways, of several requests and hosts; the last one is truncated.
 const LOG: &str = r#"
 front-1 {"timestamp":"2026-05-30 03:20:24.100 +00:00","text":"started","kv":{"host":"front-1"}}
 front-1 {"timestamp":"2026-05-30 03:20:25.000 +00:00","text":"waits for its turn","kv":{"request_id":"late","score":595,"best_other_score":282,"engines_backlog_ms":76,"room":11,"left_ms":14995}}
@@ -33,6 +33,7 @@
 front-1 {"timestamp":"2026-05-30 03:20:31
 "#;
 
+/// Runs the command for a request, with [`LOG`] on standard input.
 fn explain(request_id: &str) -> Output {
     let mut child = marigoldstage()
         .args(["explain", request_id])
@@ -49,31 +50,31 @@
 
 #[rstest]
 #[case::refused_under_load("late", &["503", "11285 ms", "11 engines free", "before its deadline", "went first", "21 engines", "has not run"])]
-#[case::no_place_to_spare("full", &["503", "940 of 1,000", "31 others", "2.5 a second", "has not run"])]
+#[case::no_free_capacity("full", &["503", "940 of 1,000", "31 others", "2.5 a second", "has not run"])]
 #[case::cut_by_an_endpoint("cut", &["whole", "21 events", "i-1 broke off (end of file)", "840 ms"])]
 #[case::may_have_run("lost", &["502", "may have run", "i-7 (connection reset, 2 ms)"])]
 #[case::process_ended("open", &["process ended while it was open"])]
-#[case::held("held", &["503", "00ff", "crashed the endpoints", "has not run"])]
-#[case::all_shut("shut", &["503", "1 leave", "2 name a limit", "526 ms", "has not run"])]
-#[case::old_configuration("old", &["5120 ms", "the store is lost"])]
-fn a_request_s_cause_is_told(#[case] request_id: &str, #[case] said: &[&str]) {
+#[case::quarantined("held", &["503", "00ff", "crashed the endpoints", "has not run"])]
+#[case::all_endpoints_shut("shut", &["503", "1 leave", "2 name a limit", "526 ms", "has not run"])]
+#[case::stale_configuration("old", &["5120 ms", "the store is lost"])]
+fn the_cause_of_a_request_is_explained(#[case] request_id: &str, #[case] phrases: &[&str]) {
     let output = explain(request_id);
     assert_eq!(code(&output), 0, "{}", stderr(&output));
     let text = stdout(&output);
     let cause = text.lines().last().expect("a cause");
-    for words in said {
-        assert!(cause.contains(words), "{words:?} in {cause:?}");
+    for phrase in phrases {
+        assert!(cause.contains(phrase), "{phrase:?} in {cause:?}");
     }
 }
 
 #[test]
-fn lines_come_in_order_of_time_with_their_host() {
+fn lines_are_sorted_by_time_and_show_their_host() {
     let text = stdout(&explain("cut"));
-    let order: Vec<usize> = ["dispatch ended", "stream broke off", "stream ended"]
+    let positions: Vec<usize> = ["dispatch ended", "stream broke off", "stream ended"]
         .iter()
         .map(|kind| text.find(kind).expect("the line"))
         .collect();
-    assert!(order.is_sorted(), "{text}");
+    assert!(positions.is_sorted(), "{text}");
     assert!(
         text.lines().take(3).all(|line| line.contains("front-2")),
         "{text}"
@@ -82,14 +83,15 @@
 }
 
 #[test]
-fn a_request_that_nobody_knows_is_said_so() {
+fn an_unknown_request_is_reported() {
     let output = explain("nobody");
     assert_eq!(code(&output), 1);
     assert!(stdout(&output).contains("no line names this request"));
 }
 
-/// Lines of two routes: one prompt on time, one late as it waited, one with a pause, one refused.
-const DAY: &str = r#"
+/// Log lines of two routes: a prompt on time, one late after waiting for a place, one with a long pause,
+/// and a refused one.
+const LOG_OF_TWO_ROUTES: &str = r#"
 front-1 {"timestamp":"2026-05-30 03:20:24.100 +00:00","text":"started","kv":{"host":"front-1"}}
 front-1 {"timestamp":"2026-05-30 03:20:25.000 +00:00","text":"stream ended","kv":{"request_id":"a","route":"short","outcome":"answered","first_event_ms":120,"aim_ms":300,"longest_pause_ms":90,"pause_limit_ms":250}}
 front-1 {"timestamp":"2026-05-30 03:20:25.100 +00:00","text":"waits for a place","kv":{"request_id":"b","ahead":4}}
@@ -98,7 +100,7 @@
 front-2 {"timestamp":"2026-05-30 03:20:26.000 +00:00","text":"request ended","kv":{"request_id":"d","outcome":"refused","detail":"too_late"}}
 "#;
 
-/// What is said of a whole log.
+/// Output of the command for a whole log, with this flag.
 fn explain_all(flag: &str, log: &str) -> String {
     let name = format!("explain{flag}-{}.log", std::process::id());
     let path = std::env::temp_dir().join(name);
@@ -113,7 +115,7 @@
     stdout(&output)
 }
 
-/// Ten prompts of one route, of 10,000 to 100,000 read tokens: the three largest aren't answered.
+/// Log lines of ten prompts of one route, of 10,000 to 100,000 read tokens; the three largest aren't answered.
 fn prompts_by_size() -> String {
     let line = |number: u32| {
         let (text, end) = match number {
@@ -138,9 +140,9 @@
 }
 
 #[test]
-fn the_longest_prompts_of_a_route_are_told_apart() {
+fn prompts_of_a_route_are_reported_by_size() {
     let text = explain_all("--sizes", &prompts_by_size());
-    for words in [
+    for phrase in [
         "audit: 10 prompts, 0.70 answered",
         "7 below the largest three tenths: 10000 to 70000 read tokens, 1.00 answered, 1.43 of all",
         "2 the fifth below the largest tenth: 80000 to 90000 read tokens, 0.00 answered, 0.00 of all",
@@ -149,20 +151,20 @@
         "1 the largest tenth: 100000 to 100000 read tokens, 0.00 answered",
         "1 stream_timed_out",
     ] {
-        assert!(text.contains(words), "{words:?} in {text}");
+        assert!(text.contains(phrase), "{phrase:?} in {text}");
     }
 }
 
 #[test]
 fn the_causes_of_all_requests_are_counted_by_route() {
-    let text = explain_all("--all", DAY);
-    for words in [
+    let text = explain_all("--all", LOG_OF_TWO_ROUTES);
+    for phrase in [
         "short: 2 requests",
         "1  50.0%  on time",
         "1  50.0%  first event late: waited for a place",
         "1 100.0%  a pause too long",
         "1 100.0%  refused: too_late",
     ] {
-        assert!(text.contains(words), "{words:?} in {text}");
+        assert!(text.contains(phrase), "{phrase:?} in {text}");
     }
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,4 +1,4 @@
-//! The whole path as real processes: stand-ins, sidecars and a gateway, each on its own.
+//! End-to-end tests with real processes: stand-ins, sidecars and a gateway.
 
 #![cfg(feature = "demo")]
 
@@ -14,11 +14,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use common::cluster::endpoint;
+use common::cluster::endpoint_row;
 use common::cluster::start_sidecar;
-use common::cluster::write_table;
+use common::cluster::write_initial_table;
 use common::cluster::ANY_PORT;
-use common::cluster::KEY;
+use common::cluster::API_KEY;
 use common::process::Process;
 use marigoldstage::demo::client;
 use marigoldstage::demo::client::Delivery;
@@ -32,27 +32,40 @@
 
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// Processes of a small cluster; `address` is where the gateway listens to clients.
 struct Cluster {
     gateway: Process,
     address: SocketAddr,
     sidecar: Process,
-    _others: Vec<Process>,
+    _other_processes: Vec<Process>,
 }
 
 impl Cluster {
-    /// One engine, one plain service, a sidecar beside each, and a gateway.
+    /// Starts one engine, one plain service, a sidecar for each, and a gateway.
     fn start() -> Self {
-        let (platform, platform_url) = Process::standin("platform", &[]);
-        let (engine, engine_url) = Process::standin("engine", &["--time-scale", "10"]);
-        let (service, service_url) = Process::standin("service", &[]);
-        let (sidecar, engine_at) = start_sidecar("engine-1", "engine", &engine_url, &platform_url);
-        let (other, service_at) = start_sidecar("stock-1", "service", &service_url, &platform_url);
+        let (platform, platform_url) = Process::start_standin("platform", &[]);
+        let (engine, engine_url) = Process::start_standin("engine", &["--time-scale", "10"]);
+        let (service, service_url) = Process::start_standin("service", &[]);
+        let (sidecar, engine_sidecar_address) =
+            start_sidecar("engine-1", "engine", &engine_url, &platform_url);
+        let (service_sidecar, service_sidecar_address) =
+            start_sidecar("stock-1", "service", &service_url, &platform_url);
         let endpoints = [
-            endpoint("engine-1", EndpointKind::Engine, engine_at, "model-a"),
-            endpoint("stock-1", EndpointKind::Service, service_at, "stock"),
+            endpoint_row(
+                "engine-1",
+                EndpointKind::Engine,
+                engine_sidecar_address,
+                "model-a",
+            ),
+            endpoint_row(
+                "stock-1",
+                EndpointKind::Service,
+                service_sidecar_address,
+                "stock",
+            ),
         ];
-        write_table(&platform_url, &endpoints);
-        let (gateway, address) = Process::role(
+        write_initial_table(&platform_url, &endpoints);
+        let (gateway, address) = Process::start_role(
             "gateway",
             &[
                 "--listen",
@@ -73,13 +86,13 @@
             gateway,
             address,
             sidecar,
-            _others: vec![platform, engine, service, other],
+            _other_processes: vec![platform, engine, service, service_sidecar],
         };
         cluster.wait_until_serving();
         cluster
     }
 
-    /// The first request may come before the settings and the sessions are there.
+    /// Waits until a request is answered; the first ones may arrive before the gateway has its settings and sessions.
     fn wait_until_serving(&self) {
         let end = Instant::now() + READY_TIMEOUT;
         loop {
@@ -92,19 +105,19 @@
         }
     }
 
-    fn completion(&self, prompt: &str, max_tokens: u64, streamed: bool) -> Request {
+    fn completion(&self, prompt: &str, max_tokens: u64, is_streamed: bool) -> Request {
         let body = json!({
             "model": "model-a",
             "prompt": prompt,
             "max_tokens": max_tokens,
-            "stream": streamed,
+            "stream": is_streamed,
         });
         Request {
             url: format!("http://{}/v1/completions", self.address),
-            bearer_key: KEY.to_string(),
+            bearer_key: API_KEY.to_string(),
             kind: "query".to_string(),
             body: body.to_string(),
-            delivery: match streamed {
+            delivery: match is_streamed {
                 true => Delivery::Streamed,
                 false => Delivery::Whole,
             },
@@ -115,7 +128,7 @@
 }
 
 #[test]
-fn a_streamed_answer_comes_whole_through_all_processes() {
+fn a_streamed_answer_arrives_complete_through_all_processes() {
     let cluster = Cluster::start();
     let outcome = client::send(&cluster.completion("which trees are in stock", 40, true));
     let Ended::Answered { text, .. } = outcome.ended else {
@@ -134,44 +147,44 @@
     };
     assert!(text.contains("/items/7"), "{text}");
 
-    let wrong = Request {
+    let wrong_key = Request {
         bearer_key: "nobody's".to_string(),
         ..cluster.completion("x", 1, false)
     };
     let refused = Ended::Refused("unauthenticated".to_string());
-    assert_eq!(client::send(&wrong).ended, refused);
+    assert_eq!(client::send(&wrong_key).ended, refused);
 }
 
-/// A client that keeps its connection knows by the last chunk alone that the answer is over.
+/// A client that keeps its connection open recognises the end of the response by the last chunk alone.
 #[test]
-fn a_stream_ends_without_the_connection() {
+fn a_stream_ends_without_closing_the_connection() {
     let cluster = Cluster::start();
     let body = cluster.completion("short", 3, true).body;
     let mut stream = TcpStream::connect(cluster.address).unwrap();
     stream.set_read_timeout(Some(READY_TIMEOUT)).unwrap();
     write!(
         stream,
-        "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {KEY}\r\n\
+        "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {API_KEY}\r\n\
          Request-Kind: query\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
     .unwrap();
-    let mut answer = Vec::new();
-    while !answer.ends_with(b"\r\n0\r\n\r\n") {
+    let mut response = Vec::new();
+    while !response.ends_with(b"\r\n0\r\n\r\n") {
         let mut byte = [0];
         assert_eq!(stream.read(&mut byte).unwrap(), 1);
-        answer.extend(byte);
+        response.extend(byte);
     }
-    let answer = String::from_utf8(answer).unwrap();
-    assert!(answer.contains("data: [DONE]"), "{answer}");
+    let response = String::from_utf8(response).unwrap();
+    assert!(response.contains("data: [DONE]"), "{response}");
 }
 
 #[test]
-fn a_signal_to_stop_cuts_off_no_request() {
+fn a_termination_signal_cuts_off_no_request() {
     let mut cluster = Cluster::start();
     let request = cluster.completion("a long answer, please", 2_000, true);
     let response = attohttpc::post(&request.url)
-        .header("Authorization", format!("Bearer {KEY}"))
+        .header("Authorization", format!("Bearer {API_KEY}"))
         .header("Request-Kind", "query")
         .text(&request.body)
         .send()
@@ -192,7 +205,7 @@
 
 #[test]
 fn a_gateway_whose_name_is_taken_over_ends() {
-    let (_platform, url) = Process::standin("platform", &[]);
+    let (_platform, url) = Process::start_standin("platform", &[]);
     let arguments = [
         "--name",
         "gateway-1",
@@ -209,13 +222,13 @@
         "--leave-grace-ms",
         "0",
     ];
-    let (mut older, _) = Process::role("gateway", &arguments);
+    let (mut older, _) = Process::start_role("gateway", &arguments);
     let client = http::Client::new(http::Options {
         base_url: url.clone(),
         ..http::Options::default()
     });
     wait_for_row(&client, "member/gateway/gateway-1");
-    let (newer, _) = Process::role("gateway", &arguments);
+    let (newer, _) = Process::start_role("gateway", &arguments);
     assert_eq!(older.wait().code(), Some(1));
     drop(newer);
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! `marigoldstage quarantine`: what is held is listed, and lifted for all gateways.
+//! `marigoldstage quarantine`: lists quarantined work, and lifts a quarantine for all gateways.
 
 mod common;
 #[path = "../platform/tests/standin/mod.rs"]
@@ -21,14 +21,16 @@
 use standin::gateway::Gateway;
 use standin::store::Store;
 
-fn quarantine(store: &Store, words: &[&str]) -> Output {
+/// Runs the command against a store.
+fn quarantine(store: &Store, arguments: &[&str]) -> Output {
     let mut command = marigoldstage();
-    command.arg("quarantine").args(words);
+    command.arg("quarantine").args(arguments);
     command.args(["--store", &store.address.to_string()]);
     command.output().expect("the program")
 }
 
-fn deadly() -> ClientRequest {
+/// A request that crashes each engine that runs it.
+fn crashing_request() -> ClientRequest {
     ClientRequest {
         body: CRASH_MARKER.to_string(),
         ..ClientRequest::to("/talk/1").with_header("Token-Count", "900,200")
@@ -36,7 +38,7 @@
 }
 
 #[test]
-fn what_is_held_is_listed_and_lifted() {
+fn quarantined_work_is_listed_and_lifted() {
     let endpoints: Vec<Endpoint> = (0..8)
         .map(|number| Endpoint::start(&format!("i-{number}"), "model", &[Behaviour::Crash(2)]))
         .collect();
@@ -45,33 +47,36 @@
     let gateway = Gateway::start(&store);
     assert_eq!(stdout(&quarantine(&store, &["list"])).lines().count(), 1);
     for _ in 0..4 {
-        request(gateway.client_address(), &deadly());
+        request(gateway.client_address(), &crashing_request());
         thread::sleep(Duration::from_millis(150));
     }
-    assert_eq!(request(gateway.client_address(), &deadly()).status, 503);
+    assert_eq!(
+        request(gateway.client_address(), &crashing_request()).status,
+        503
+    );
     let listed = quarantine(&store, &["list"]);
     assert_eq!(code(&listed), 0, "{}", stderr(&listed));
     let listed = stdout(&listed);
-    let work = listed.lines().nth(1).expect("a hold");
-    let work = work.split(' ').next().expect("its key");
+    let work_key = listed.lines().nth(1).expect("a quarantined work");
+    let work_key = work_key.split(' ').next().expect("its key");
 
-    let lifted = quarantine(&store, &["lift", work]);
+    let lifted = quarantine(&store, &["lift", work_key]);
     assert_eq!(code(&lifted), 0, "{}", stderr(&lifted));
     thread::sleep(Duration::from_millis(300));
     assert_eq!(
-        request(gateway.client_address(), &deadly()).status,
+        request(gateway.client_address(), &crashing_request()).status,
         502,
-        "it runs"
+        "it runs again"
     );
-    let again = quarantine(&store, &["lift", work]);
+    let again = quarantine(&store, &["lift", work_key]);
     assert_eq!(code(&again), 1, "{}", stderr(&again));
 }
 
 #[test]
-fn a_store_that_does_not_answer_is_told() {
-    let nobody = "127.0.0.1:1";
+fn an_unreachable_store_is_reported() {
+    let closed_address = "127.0.0.1:1";
     let mut command = marigoldstage();
-    command.args(["quarantine", "list", "--store", nobody]);
+    command.args(["quarantine", "list", "--store", closed_address]);
     let output = command.output().expect("the program");
     assert_eq!(code(&output), 4, "{}", stderr(&output));
 }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,4 +1,4 @@
-//! `marigoldstage relay` as a process: settings, signals, and requests around a stop.
+//! `marigoldstage relay` as a process: settings, signals, and requests during shutdown.
 
 #[path = "../platform/tests/standin/mod.rs"]
 mod standin;
@@ -32,28 +32,30 @@
 use standin::gateway::store_with;
 use standin::store::Store;
 
+/// A running relay process, with its client and readiness addresses and its settings file.
 struct Relay {
     child: Child,
-    client: SocketAddr,
-    ready: SocketAddr,
+    client_address: SocketAddr,
+    readiness_address: SocketAddr,
     settings: PathBuf,
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.settings);
     }
 }
 
-/// Ports that were free a moment ago.
+/// Ports that were free when this was called; another process may take them.
 fn free_ports<const N: usize>() -> [u16; N] {
     let listeners = [(); N].map(|()| TcpListener::bind("127.0.0.1:0").expect("a free port"));
     listeners.map(|listener| listener.local_addr().expect("an address").port())
 }
 
+/// Settings with these ports for clients, readiness, peers and metrics.
 fn settings(ports: [u16; 4], store: SocketAddr) -> String {
     let [client, ready, peer, metrics] = ports;
     format!(
@@ -66,10 +68,10 @@
 }
 
 impl Relay {
-    /// Starts one; ports that were free may be taken by the time it binds them, then others are tried.
+    /// Starts a relay. Retries with other ports if a free port was taken before the relay bound it.
     fn start(store: &Store) -> Self {
-        const TRIES: usize = 5;
-        for _ in 0..TRIES {
+        const ATTEMPTS: usize = 5;
+        for _ in 0..ATTEMPTS {
             if let Some(relay) = Self::try_start(store) {
                 return relay;
             }
@@ -95,21 +97,21 @@
             .expect("the program");
         let mut relay = Self {
             child,
-            client: SocketAddr::from(([127, 0, 0, 1], ports[0])),
-            ready: SocketAddr::from(([127, 0, 0, 1], ports[1])),
+            client_address: SocketAddr::from(([127, 0, 0, 1], ports[0])),
+            readiness_address: SocketAddr::from(([127, 0, 0, 1], ports[1])),
             settings: path,
         };
-        let mut is_over = false;
+        let mut has_ended = false;
         wait_until("readiness", || {
-            is_over = relay.child.try_wait().expect("a state").is_some();
-            is_over || relay.readiness() == 200
+            has_ended = relay.child.try_wait().expect("a state").is_some();
+            has_ended || relay.readiness() == 200
         });
-        (!is_over).then_some(relay)
+        (!has_ended).then_some(relay)
     }
 
-    /// What the balancer is told; 0 without an answer.
+    /// Status that the load balancer gets from the readiness check; 0 without a response.
     fn readiness(&self) -> u16 {
-        let Ok(mut stream) = TcpStream::connect(self.ready) else {
+        let Ok(mut stream) = TcpStream::connect(self.readiness_address) else {
             return 0;
         };
         let text = "GET /readiness HTTP/1.1\r\nHost: ready\r\nConnection: close\r\n\r\n";
@@ -125,36 +127,38 @@
     }
 }
 
-/// Three hosts of a bench day ended by SIGHUP, and the requests on them were lost.
+/// Guards against the default action of SIGHUP, which ended the relays of three hosts and lost their requests.
 #[test]
-fn a_hangup_signal_reads_the_settings_and_ends_nothing() {
-    let desk = Endpoint::start("i-1", "desk", &[Behaviour::Answer]);
-    let store = store_with(&[&desk]);
+fn a_hangup_signal_reloads_the_settings_and_ends_nothing() {
+    let endpoint = Endpoint::start("i-1", "desk", &[Behaviour::Answer]);
+    let store = store_with(&[&endpoint]);
     let relay = Relay::start(&store);
-    let other = store_with(&[&desk]);
-    other.put("op", "config", &configuration(77));
+    let other_store = store_with(&[&endpoint]);
+    other_store.put("op", "config", &configuration(77));
     let text = std::fs::read_to_string(&relay.settings).expect("the settings");
-    let text = text.replace(&store.address.to_string(), &other.address.to_string());
+    let text = text.replace(&store.address.to_string(), &other_store.address.to_string());
     std::fs::write(&relay.settings, text).expect("the settings");
-    let before = other.calls();
+    let calls_before = other_store.calls();
     relay.signal(Signal::HUP);
-    wait_until("calls to the other store", || other.calls() > before);
+    wait_until("calls to the other store", || {
+        other_store.calls() > calls_before
+    });
     assert_eq!(
-        request(relay.client, &ClientRequest::to("/safe/1")).status,
+        request(relay.client_address, &ClientRequest::to("/safe/1")).status,
         200
     );
 }
 
 #[test]
-fn faulty_settings_are_not_taken() {
-    let desk = Endpoint::start("i-1", "desk", &[Behaviour::Answer]);
-    let store = store_with(&[&desk]);
+fn invalid_settings_are_not_applied() {
+    let endpoint = Endpoint::start("i-1", "desk", &[Behaviour::Answer]);
+    let store = store_with(&[&endpoint]);
     let relay = Relay::start(&store);
     std::fs::write(&relay.settings, "nonsense").expect("the settings");
     relay.signal(Signal::HUP);
     thread::sleep(Duration::from_millis(200));
     assert_eq!(
-        request(relay.client, &ClientRequest::to("/safe/1")).status,
+        request(relay.client_address, &ClientRequest::to("/safe/1")).status,
         200
     );
 }
@@ -164,29 +168,29 @@
     let engine = Endpoint::start("i-1", "model", &[Behaviour::Stream(120)]);
     let store = store_with(&[&engine]);
     let mut relay = Relay::start(&store);
-    let talk = ClientRequest::to("/talk/1").with_header("Token-Count", "900,200");
-    let mut open = send(relay.client, &talk);
+    let stream_request = ClientRequest::to("/talk/1").with_header("Token-Count", "900,200");
+    let mut open_stream = send(relay.client_address, &stream_request);
     wait_until("the stream at the engine", || {
         !engine.received_requests().is_empty()
     });
     relay.signal(Signal::TERM);
     wait_until("not ready", || relay.readiness() == 503);
     let late = request(
-        relay.client,
+        relay.client_address,
         &ClientRequest::to("/talk/2").with_header("Token-Count", "900,200"),
     );
     assert!(
         late.is_complete,
-        "the balancer may not have noticed yet: {late:?}"
+        "the load balancer may not have noticed yet: {late:?}"
     );
     assert_eq!(late.head.header("connection"), Some("close"));
-    assert!(read_response(&mut open).is_complete);
+    assert!(read_response(&mut open_stream).is_complete);
     let status = relay.child.wait().expect("an end");
     assert!(status.success(), "{status}");
 }
 
 #[test]
-fn all_faults_of_the_settings_are_told_before_anything_starts() {
+fn all_invalid_settings_are_reported_before_anything_starts() {
     let path =
         std::env::temp_dir().join(format!("marigoldstage-faulty-{}.toml", std::process::id()));
     let ports = free_ports::<4>();
@@ -200,62 +204,62 @@
         .expect("the program");
     std::fs::remove_file(&path).expect("the file");
     assert!(!output.status.success());
-    let told = String::from_utf8_lossy(&output.stderr);
-    assert!(told.contains("bounds.graceS"), "{told}");
-    assert!(told.contains("platformSettings.address"), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(stderr.contains("bounds.graceS"), "{stderr}");
+    assert!(stderr.contains("platformSettings.address"), "{stderr}");
 }
 
-/// Two long prompts at a host whose engines read for the first one only; the second waits for its turn.
-struct Waits {
+/// Two long prompts at a host whose engines all prefill the first one, so that the second waits for its turn.
+struct QueuedPrompt {
     relay: Relay,
     engines: Vec<Endpoint>,
-    first: TcpStream,
-    second: TcpStream,
+    running: TcpStream,
+    waiting: TcpStream,
     _store: Store,
 }
 
-impl Waits {
+impl QueuedPrompt {
     fn start() -> Self {
         let engines: Vec<Endpoint> = (1..=3)
             .map(|number| Endpoint::start(&format!("i-{number}"), "model", &[Behaviour::Hang]))
             .collect();
         let all: Vec<&Endpoint> = engines.iter().collect();
         let store = store_with(&all);
-        // Clients wait for longer than the host may take to stop, and nobody tries the first one again.
-        let mut patient = configuration(2);
-        for route in patient["routes"].as_array_mut().expect("routes") {
+        // The timeout exceeds the time that the host may take to stop, and the first prompt is not retried.
+        let mut long_timeouts = configuration(2);
+        for route in long_timeouts["routes"].as_array_mut().expect("routes") {
             if route["name"] == "review" {
                 route["timeoutMs"] = json!(14_000);
                 route["streamResume"] = json!(false);
             }
         }
-        store.put("op", "config", &patient);
+        store.put("op", "config", &long_timeouts);
         let relay = Relay::start(&store);
         let long = ClientRequest {
             deadline_ms: 14_000,
             ..ClientRequest::to("/review/1").with_header("Token-Count", "90000,200")
         };
-        let first = send(relay.client, &long);
-        let seen = || {
+        let running = send(relay.client_address, &long);
+        let request_count = || {
             engines
                 .iter()
                 .map(|engine| engine.received_requests().len())
                 .sum::<usize>()
         };
-        wait_until("the first at an engine", || seen() == 1);
-        let second = send(relay.client, &long);
+        wait_until("the first prompt at an engine", || request_count() == 1);
+        let waiting = send(relay.client_address, &long);
         thread::sleep(Duration::from_millis(300));
-        assert_eq!(seen(), 1, "the second waits");
+        assert_eq!(request_count(), 1, "the second prompt waits");
         Self {
             engines,
             relay,
-            first,
-            second,
+            running,
+            waiting,
             _store: store,
         }
     }
 
-    fn seen(&self) -> usize {
+    fn request_count(&self) -> usize {
         self.engines
             .iter()
             .map(|engine| engine.received_requests().len())
@@ -263,34 +267,34 @@
     }
 }
 
-/// A host that stopped cut a long prompt that waited there for its turn, and its client saw a closed connection. Refused
-/// at once, as was done next, it used up the only time that its client comes back, though it might have been served
-/// here: of those that waited, as many found their turn at hosts that stop as elsewhere.
+/// A stopping host must not cut a long prompt that waits for its turn, since the client would see a closed connection.
+/// Nor may it refuse the prompt at once: that uses up the only retry of the client, while as many waiting prompts get
+/// their turn at stopping hosts as at others.
 #[test]
-fn a_stop_gives_back_what_waits_before_it_would_be_cut() {
-    let mut waits = Waits::start();
+fn a_stop_refuses_a_queued_prompt_before_it_would_be_cut() {
+    let mut queued = QueuedPrompt::start();
     let start = Instant::now();
-    waits.relay.signal(Signal::TERM);
-    let answer = read_response(&mut waits.second);
+    queued.relay.signal(Signal::TERM);
+    let answer = read_response(&mut queued.waiting);
     assert_eq!(answer.status, 503);
     assert!(answer.head.header("retry-after").is_some(), "{answer:?}");
-    // What is open is cut after 7.7 s.
+    // Open requests are cut after 7.7 s.
     let took = start.elapsed();
     assert!(took < Duration::from_secs(7), "took {took:?}");
-    assert_eq!(waits.seen(), 1, "it has not run");
+    assert_eq!(queued.request_count(), 1, "the second prompt has not run");
 }
 
 #[test]
-fn a_stop_serves_what_waits_and_finds_its_turn_in_time() {
-    let mut waits = Waits::start();
-    waits.relay.signal(Signal::TERM);
+fn a_stop_serves_a_queued_prompt_whose_turn_comes_in_time() {
+    let mut queued = QueuedPrompt::start();
+    queued.relay.signal(Signal::TERM);
     thread::sleep(Duration::from_millis(500));
-    for engine in &waits.engines {
+    for engine in &queued.engines {
         engine.set_behaviour(Behaviour::Stream(2));
     }
-    // Its client leaves, so the engines are free.
-    drop(waits.first);
-    let answer = read_response(&mut waits.second);
+    // The client of the first prompt disconnects, which frees the engines.
+    drop(queued.running);
+    let answer = read_response(&mut queued.waiting);
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(answer.is_complete);
 }
--- a/tests/start_in_outage.rs
+++ b/tests/start_in_outage.rs
@@ -1,5 +1,4 @@
-//! A gateway that starts while the store is down serves nothing, unless another gateway has the
-//! table.
+//! A gateway that starts during an outage of the store serves nothing, unless it gets the table from a peer.
 
 mod common;
 
@@ -8,19 +7,19 @@
 use std::thread;
 
 use common::marigoldstage;
-use common::process::Killed;
+use common::process::KillOnDrop;
 use common::wait_until;
 use common::write_first_row;
-use common::LOOK_INTERVAL;
+use common::POLL_INTERVAL;
 use mgs_standin::platform;
 use mgs_standin::platform::Platform;
 
-/// Looks at a gateway that must not become ready; each is a poll interval of its settings long.
-const LOOKS: usize = 20;
+/// Number of polls of a gateway that must not become ready; their interval equals its `--settings-poll-interval-ms`.
+const POLLS: usize = 20;
 
 /// A gateway's process.
 struct Gateway {
-    _process: Killed,
+    _process: KillOnDrop,
     admin: SocketAddr,
 }
 
@@ -39,11 +38,11 @@
             ])
             .args(["--peer-listen", &peer_listen.to_string()])
             .args(["--admin", &admin.to_string()]);
-        for peer in peers {
-            command.args(["--peers", &peer.to_string()]);
+        for peer_address in peers {
+            command.args(["--peers", &peer_address.to_string()]);
         }
         Self {
-            _process: Killed::silent(&mut command),
+            _process: KillOnDrop::silent(&mut command),
             admin,
         }
     }
@@ -51,15 +50,15 @@
     fn get(&self, path: &str) -> Option<(bool, String)> {
         let url = format!("http://{}{path}", self.admin);
         let response = attohttpc::get(url).send().ok()?;
-        let good = response.is_success();
-        Some((good, response.text().ok()?))
+        let is_success = response.is_success();
+        Some((is_success, response.text().ok()?))
     }
 
     fn is_ready(&self) -> bool {
         self.get("/readyz").is_some_and(|(ready, _)| ready)
     }
 
-    fn answers(&self) -> bool {
+    fn responds(&self) -> bool {
         self.get("/readyz").is_some()
     }
 }
@@ -70,23 +69,29 @@
 }
 
 #[test]
-fn only_with_a_peer_that_has_the_table_is_it_ready_before_the_store_is_back() {
+fn a_gateway_is_ready_in_an_outage_only_with_a_peer_that_has_the_table() {
     let platform = Platform::start(platform::Options::default()).unwrap();
     write_first_row(&platform.url());
-    let peer = free_address();
-    let first = Gateway::start(&platform, peer, &[]);
-    wait_until("first to be ready", || first.is_ready());
+    let peer_address = free_address();
+    let first = Gateway::start(&platform, peer_address, &[]);
+    wait_until("the first gateway to be ready", || first.is_ready());
 
     platform.faults().set_outage(true);
-    let alone = Gateway::start(&platform, free_address(), &[]);
-    let helped = Gateway::start(&platform, free_address(), &[peer]);
-    wait_until("helped to be ready", || helped.is_ready());
-    wait_until("an answer", || alone.answers());
-    for _ in 0..LOOKS {
-        assert!(!alone.is_ready());
-        thread::sleep(LOOK_INTERVAL);
+    let without_peer = Gateway::start(&platform, free_address(), &[]);
+    let with_peer = Gateway::start(&platform, free_address(), &[peer_address]);
+    wait_until("the gateway with a peer to be ready", || {
+        with_peer.is_ready()
+    });
+    wait_until("a response of the gateway without a peer", || {
+        without_peer.responds()
+    });
+    for _ in 0..POLLS {
+        assert!(!without_peer.is_ready());
+        thread::sleep(POLL_INTERVAL);
     }
 
     platform.faults().set_outage(false);
-    wait_until("alone to be ready", || alone.is_ready());
+    wait_until("the gateway without a peer to be ready", || {
+        without_peer.is_ready()
+    });
 }
