--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -123,7 +123,7 @@
 
     fn signal(&self, signal: Signal) {
         let pid = Pid::from_child(&self.child);
-        kill_process(pid, signal).expect("the process lives");
+        kill_process(pid, signal).expect("a running process");
     }
 }
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -89,7 +89,7 @@
 enum Scenario {
     /// The faults of [`plan`].
     Plain,
-    /// Besides, endpoints restart under the same identifier, and other writers corrupt their rows.
+    /// The faults of [`plan`]; besides, endpoints restart under the same identifier, and other writers corrupt their rows.
     Restarts,
     /// The same as [`Self::Restarts`], while the store is restored from older copies.
     Rollbacks,
@@ -117,6 +117,7 @@
     }
 }
 
+/// Runs the plan of a seed, lets the environment recover, and checks the promises.
 fn run(seed: u64, scenario: Scenario) -> Outcome {
     let run_lock = RUN_LOCK.lock();
     // Two tests may run the same seed; a folder of its own keeps one from removing the other's files.
@@ -194,6 +195,7 @@
     (!has_recovered).then(|| format!("{answered} of {} answered at the end", recent.len()))
 }
 
+/// The line of counts of a run: requests by status, and violations.
 fn summary(seed: u64, outcome: &Outcome) -> String {
     let status = |record: &Record| {
         record
@@ -221,6 +223,7 @@
     writeln!(std::io::stdout(), "{text}").expect("standard output");
 }
 
+/// Runs a seed, and fails with the violations if there are any.
 fn check_seed(seed: u64, scenario: Scenario) {
     let outcome = run(seed, scenario);
     print_line(&summary(seed, &outcome));
@@ -272,20 +275,21 @@
     });
 }
 
+/// The needs of an endpoint are the limits, draining and back-off that it announces.
 #[test]
 #[ignore = "by hand, for the seeds of SOAK_SEEDS"]
 fn promises_hold_for_the_needs_of_the_seeds_asked_for() {
     check_requested_seeds(|_| Scenario::Backpressure);
 }
 
-/// Runs the seeds of SOAK_SEEDS, and fails at the end if one of them did.
+/// Runs the seeds of SOAK_SEEDS, given as `FIRST..LAST` with both included, and fails at the end if one of them did.
 fn check_requested_seeds(scenario_of: impl Fn(u64) -> Scenario) {
     let requested = std::env::var("SOAK_SEEDS").unwrap_or_else(|_| "1..4".to_string());
-    let (first, last_seed) = requested.split_once("..").expect("FIRST..LAST");
-    let first: u64 = first.parse().expect("a number");
+    let (first_seed, last_seed) = requested.split_once("..").expect("FIRST..LAST");
+    let first_seed: u64 = first_seed.parse().expect("a number");
     let last_seed: u64 = last_seed.parse().expect("a number");
     let mut failing = Vec::new();
-    for seed in first..=last_seed {
+    for seed in first_seed..=last_seed {
         let outcome = run(seed, scenario_of(seed));
         print_line(&summary(seed, &outcome));
         if outcome.violations.is_empty() {
--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -141,6 +141,7 @@
     }
 }
 
+/// One client; it draws gateways and requests from a random number generator.
 struct Client {
     rng: ChaCha8Rng,
     name: String,
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -5,8 +5,11 @@
 /// A component of the system that a fault can disrupt; the numbers are those of gateways and endpoint slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Component {
+    /// The process of a gateway.
     Process(usize),
+    /// The path to an endpoint.
     EndpointPath(usize),
+    /// The path from a gateway to the store.
     StorePath(usize),
     Store,
 }
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -13,12 +13,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PathFault {
     Delayed,
+    /// New connections are refused.
     Refused,
+    /// Open connections are reset once.
     Cut,
+    /// No connection carries any bytes.
     Silent,
+    /// No connection carries bytes towards the gateway.
     SilentOneWay,
     /// Open connections carry no more bytes; new ones work.
     OpenConnectionsSilent,
+    /// Requests pass, and the connection is reset before any of the reply does.
     RepliesLost,
 }
 
