--- a/crates/mgs-admission/src/ageing.rs
+++ b/crates/mgs-admission/src/ageing.rs
@@ -1,14 +1,15 @@
-//! Requests of low priority that have waited long, and the share of starts that they may take.
+//! Ageing of low-priority requests: after a long wait they may start ahead of higher priorities,
+//! within a bounded share of the started tokens.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
 
 use crate::arena::Key;
 
-/// Most tokens that may be saved up for starts out of turn.
+/// Maximum accumulated credit for starts of aged requests, in tokens.
 const CREDIT_MAX_TOKENS: f64 = 200_000.0;
 
-/// Queued requests by the time at which they are aged, those that are, and their credit.
+/// Queued requests by ageing time, the aged requests in order of ageing, and their token credit.
 #[derive(Debug, Default)]
 pub(crate) struct Ageing {
     due: BTreeSet<(u64, Key)>,
@@ -17,18 +18,19 @@
 }
 
 impl Ageing {
-    /// A request will be aged at `at_ms`.
+    /// Schedules a request to become aged at `at_ms`.
     pub(crate) fn insert(&mut self, at_ms: u64, key: Key) {
         self.due.insert((at_ms, key));
     }
 
-    /// A request no longer waits. One that is aged already is passed over when its turn comes.
+    /// Removes a request that is no longer queued. A request that is already aged stays in the
+    /// list; the caller skips it when it becomes the first.
     pub(crate) fn remove(&mut self, at_ms: u64, key: Key) {
         self.due.remove(&(at_ms, key));
     }
 
-    /// Lets time pass.
-    pub(crate) fn pass(&mut self, now_ms: u64) {
+    /// Moves the requests that are due at `now_ms` to the aged ones.
+    pub(crate) fn advance(&mut self, now_ms: u64) {
         while let Some((at_ms, key)) = self.due.first().copied() {
             if at_ms > now_ms {
                 return;
@@ -38,29 +40,29 @@
         }
     }
 
-    /// The request that was aged first.
-    pub(crate) fn first(&self) -> Option<Key> {
+    /// The request that became aged first.
+    pub(crate) fn first_aged(&self) -> Option<Key> {
         self.aged.front().copied()
     }
 
-    /// The one that was aged first is done with.
-    pub(crate) fn drop_first(&mut self) {
+    /// Removes the request that became aged first.
+    pub(crate) fn pop_first_aged(&mut self) {
         self.aged.pop_front();
     }
 
-    /// Tokens were started, of which aged requests may have `share`.
-    pub(crate) fn earn(&mut self, tokens: u64, share: f64) {
+    /// Adds `share` of the started tokens to the credit.
+    pub(crate) fn add_credit(&mut self, tokens: u64, share: f64) {
         let credit = self.credit_tokens + tokens as f64 * share;
         self.credit_tokens = credit.min(CREDIT_MAX_TOKENS);
     }
 
-    /// Whether one may start out of turn now.
+    /// Whether an aged request may start now.
     pub(crate) fn has_credit(&self) -> bool {
         self.credit_tokens > 0.0
     }
 
-    /// One of so many tokens did.
-    pub(crate) fn spend(&mut self, tokens: u64) {
+    /// Charges the start of an aged request; the credit may become negative.
+    pub(crate) fn spend_credit(&mut self, tokens: u64) {
         self.credit_tokens -= tokens as f64;
     }
 }
--- a/crates/mgs-admission/src/arena.rs
+++ b/crates/mgs-admission/src/arena.rs
@@ -1,4 +1,4 @@
-//! Storage by small keys that are never mistaken for their successors.
+//! A generational arena: the key of a removed value never finds a later value in the same slot.
 
 /// Key of a value in an [`Arena`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -13,7 +13,8 @@
     value: Option<T>,
 }
 
-/// Values in slots that are used again; a key of a removed value finds nothing.
+/// Values in reusable slots. A removal increments the generation of the slot, so a stale key finds
+/// nothing.
 ///
 /// ```
 /// use mgs_admission::arena::Arena;
@@ -41,7 +42,7 @@
 }
 
 impl<T> Arena<T> {
-    /// Stores a value.
+    /// Stores a value and returns its key.
     pub fn insert(&mut self, value: T) -> Key {
         if let Some(index) = self.free.pop() {
             let slot = &mut self.slots[index as usize];
@@ -61,19 +62,19 @@
         }
     }
 
-    /// The value of a key, unless it was removed.
+    /// The value of a key; `None` if it was removed.
     pub fn get(&self, key: Key) -> Option<&T> {
         let slot = self.slots.get(key.slot as usize)?;
         (slot.generation == key.generation).then_some(slot.value.as_ref())?
     }
 
-    /// The value of a key for change.
+    /// Mutable access to the value of a key; `None` if it was removed.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
         let slot = self.slots.get_mut(key.slot as usize)?;
         (slot.generation == key.generation).then_some(slot.value.as_mut())?
     }
 
-    /// Takes a value out.
+    /// Removes a value and returns it; `None` if it was already removed.
     pub fn remove(&mut self, key: Key) -> Option<T> {
         let slot = self.slots.get_mut(key.slot as usize)?;
         if slot.generation != key.generation {
@@ -85,12 +86,12 @@
         Some(value)
     }
 
-    /// Count of values.
+    /// Number of values.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    /// Whether there is no value.
+    /// Whether the arena holds no values.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/mgs-admission/src/bucket.rs
+++ b/crates/mgs-admission/src/bucket.rs
@@ -1,37 +1,38 @@
-//! A token bucket that may go into debt.
+//! A token bucket whose level may become negative.
 
-/// Time over which unused rate is saved up, in milliseconds.
+/// Time over which an idle bucket fills up, in milliseconds; it sets the burst size.
 const BURST_MS: f64 = 2_000.0;
 
-/// Smallest capacity, so that slow rates admit whole requests.
+/// Minimum capacity, so that low rates still admit one whole request.
 const CAPACITY_MIN: f64 = 1.0;
 
-/// A bucket filled at a rate.
+/// A token bucket that refills at a constant rate.
 ///
-/// What costs more than the bucket holds passes when the bucket is full and leaves it in debt, so
-/// that the rate holds over time and nothing is too large for ever.
+/// A cost above the capacity is admitted when the bucket is full and leaves a negative level. The
+/// rate thus holds on average, and no request is too large to be ever admitted.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate_per_s: f64,
     level: f64,
-    at_ms: u64,
+    updated_ms: u64,
 }
 
-impl Bucket {
-    /// A full bucket; a rate of 0 sets no limit.
+impl TokenBucket {
+    /// Creates a full bucket; a rate of 0 means no limit.
     pub fn new(now_ms: u64, rate_per_s: f64) -> Self {
         let mut bucket = Self {
             rate_per_s,
             level: 0.0,
-            at_ms: now_ms,
+            updated_ms: now_ms,
         };
         bucket.level = bucket.capacity();
         bucket
     }
 
-    /// Changes the rate; what was saved or is owed stays.
+    /// Changes the rate and keeps the level, up to the new capacity. A bucket that had no limit
+    /// starts full.
     pub fn set_rate(&mut self, now_ms: u64, rate_per_s: f64) {
-        self.fill(now_ms);
+        self.refill(now_ms);
         let was_unlimited = self.rate_per_s <= 0.0;
         self.rate_per_s = rate_per_s;
         self.level = if was_unlimited {
@@ -41,12 +42,16 @@
         };
     }
 
-    /// Takes `cost`, or tells in how many milliseconds it could be taken.
+    /// Takes `cost` from the bucket.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time in milliseconds after which `cost` can be taken, if the level is too low.
     ///
     /// ```
-    /// use mgs_admission::bucket::Bucket;
+    /// use mgs_admission::bucket::TokenBucket;
     ///
-    /// let mut bucket = Bucket::new(0, 1.0);
+    /// let mut bucket = TokenBucket::new(0, 1.0);
     /// assert!(bucket.take(0, 2.0).is_ok());
     /// assert_eq!(bucket.take(0, 1.0), Err(1_000));
     /// ```
@@ -54,26 +59,26 @@
         if self.rate_per_s <= 0.0 {
             return Ok(());
         }
-        self.fill(now_ms);
-        let wanted = cost.min(self.capacity());
-        if self.level >= wanted {
+        self.refill(now_ms);
+        let required = cost.min(self.capacity());
+        if self.level >= required {
             self.level -= cost;
             return Ok(());
         }
-        let missing = wanted - self.level;
+        let missing = required - self.level;
         Err((missing / self.rate_per_s * 1_000.0).ceil() as u64)
     }
 
-    /// Gives back what wasn't used.
+    /// Returns unused cost to the bucket.
     pub fn refund(&mut self, unused: f64) {
         self.level = (self.level + unused).min(self.capacity());
     }
 
-    fn fill(&mut self, now_ms: u64) {
-        let passed_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        self.at_ms = self.at_ms.max(now_ms);
-        let filled = self.level + passed_ms / 1_000.0 * self.rate_per_s;
-        self.level = filled.min(self.capacity());
+    fn refill(&mut self, now_ms: u64) {
+        let elapsed_ms = now_ms.saturating_sub(self.updated_ms) as f64;
+        self.updated_ms = self.updated_ms.max(now_ms);
+        let refilled = self.level + elapsed_ms / 1_000.0 * self.rate_per_s;
+        self.level = refilled.min(self.capacity());
     }
 
     fn capacity(&self) -> f64 {
--- a/crates/mgs-admission/src/entry.rs
+++ b/crates/mgs-admission/src/entry.rs
@@ -1,51 +1,55 @@
-//! An admitted request.
+//! Bookkeeping of one admitted request, queued or started.
 
-use crate::answer::Answers;
 use crate::arena::Key;
 use crate::flows::ClassKey;
-use crate::flows::Waiting;
-use crate::queue::Offer;
+use crate::flows::QueuedRequest;
+use crate::queue::AdmissionRequest;
+use crate::response::ResponseStats;
 use crate::rows::RowKey;
 
-/// An admitted request.
+/// An admitted request with its row, class and state.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    pub(crate) offer: Offer,
+    pub(crate) request: AdmissionRequest,
     pub(crate) row: RowKey,
     pub(crate) class: ClassKey,
     pub(crate) weight: u32,
     pub(crate) queued: bool,
-    /// When its first token was predicted to come, set at the start.
+    /// Predicted time of the first token, in milliseconds; set when the request starts.
     pub(crate) first_token_at_ms: u64,
 }
 
 impl Entry {
-    /// Tokens of prompt and longest answer.
-    pub(crate) fn tokens(&self) -> u64 {
-        self.offer.prompt_tokens + self.offer.max_tokens
+    /// Tokens charged on admission: the prompt and the maximum number of generated tokens.
+    pub(crate) fn reserved_tokens(&self) -> u64 {
+        self.request.prompt_tokens + self.request.max_tokens
     }
 
-    /// What its flow knows of it.
-    pub(crate) fn waiting(&self, key: Key) -> Waiting {
-        Waiting {
+    /// The record of this request that is passed to [`Flows`](crate::flows::Flows).
+    pub(crate) fn queued_request(&self, key: Key) -> QueuedRequest {
+        QueuedRequest {
             row: self.row,
             class: self.class,
             entry: key,
-            tokens: self.tokens(),
+            tokens: self.reserved_tokens(),
             weight: self.weight,
         }
     }
 
-    /// What its end shows; `None` without an answer.
-    pub(crate) fn answer(&self, now_ms: u64, generated_tokens: u64) -> Option<Answers> {
+    /// Length and duration of the generated response; `None` if no token was generated.
+    pub(crate) fn response_stats(
+        &self,
+        now_ms: u64,
+        generated_tokens: u64,
+    ) -> Option<ResponseStats> {
         if generated_tokens == 0 {
             return None;
         }
-        let took_ms = now_ms.saturating_sub(self.first_token_at_ms);
-        Some(Answers::seen(
+        let generation_ms = now_ms.saturating_sub(self.first_token_at_ms);
+        Some(ResponseStats::from_response(
             generated_tokens,
-            self.offer.max_tokens,
-            took_ms,
+            self.request.max_tokens,
+            generation_ms,
         ))
     }
 }
--- a/crates/mgs-admission/src/fair/options.rs
+++ b/crates/mgs-admission/src/fair/options.rs
@@ -1,23 +1,24 @@
-//! Settings of the queue.
+//! Settings of the fair queue.
 
 /// Settings of a [`FairQueue`](super::FairQueue).
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Most requests queued for one row and class.
+    /// Maximum number of queued requests for one row and class.
     pub flow_max: usize,
-    /// Most requests queued in all.
+    /// Maximum number of queued requests in total.
     pub queue_max: usize,
-    /// Share of the time left that a short prompt may be predicted to wait in the queue.
+    /// Maximum predicted queueing time of a short prompt, as a share of its remaining time.
     pub short_wait_share_max: f64,
-    /// The same for other prompts, which may wait but must not be turned away lightly.
+    /// Maximum predicted queueing time of any longer prompt, as a share of its remaining time.
+    /// Longer prompts may wait longer and should not be refused readily.
     pub long_wait_share_max: f64,
-    /// Share of its time after which a queued request of low priority is aged.
+    /// Share of its total time after which a queued low-priority request is aged.
     pub aged_share: f64,
-    /// Share of the started tokens that aged requests may take out of their turn.
+    /// Share of the started tokens that aged requests may take ahead of higher priorities.
     pub aged_tokens_share: f64,
-    /// Bounds of a `Retry-After`, in milliseconds.
+    /// Lower bound of `Retry-After`, in milliseconds.
     pub retry_after_min_ms: u64,
-    /// See [`Options::retry_after_min_ms`].
+    /// Upper bound of `Retry-After`, in milliseconds.
     pub retry_after_max_ms: u64,
 }
 
--- a/crates/mgs-admission/src/fifo.rs
+++ b/crates/mgs-admission/src/fifo.rs
@@ -1,4 +1,4 @@
-//! One queue for all, first in, first out: the baseline.
+//! A single first-in, first-out queue for all requests, used as a baseline.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -9,57 +9,57 @@
 
 use crate::queue::Action;
 use crate::queue::Admission;
-use crate::queue::Offer;
-use crate::queue::Room;
-use crate::queue::Verdict;
+use crate::queue::AdmissionDecision;
+use crate::queue::AdmissionRequest;
+use crate::queue::Capacity;
 
-/// Most queued requests.
+/// Maximum number of queued requests.
 const QUEUE_MAX: usize = 10_000;
 
-/// When to come back to a full queue, in milliseconds.
+/// Time after which a refused request should be retried, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// The baseline: no limits, no fairness, the head of the queue waits for room.
+/// A queue without limits or fairness; its first request blocks the others until it can start.
 #[derive(Debug, Default)]
 pub struct Fifo {
-    queue: VecDeque<Offer>,
+    queue: VecDeque<AdmissionRequest>,
     queued: HashSet<RequestId>,
 }
 
 impl Admission for Fifo {
-    fn settings(&mut self, _now_ms: u64, _snapshot: &Snapshot) {}
+    fn apply_settings(&mut self, _now_ms: u64, _snapshot: &Snapshot) {}
 
-    fn offer(&mut self, _now_ms: u64, offer: &Offer) -> Verdict {
+    fn submit(&mut self, _now_ms: u64, request: &AdmissionRequest) -> AdmissionDecision {
         if self.queue.len() >= QUEUE_MAX {
-            return Verdict::Refused {
+            return AdmissionDecision::Refused {
                 reason: RefusalReason::QueueFull,
                 retry_after_ms: RETRY_AFTER_MS,
             };
         }
-        self.queued.insert(offer.id);
-        self.queue.push_back(offer.clone());
-        Verdict::Queued
+        self.queued.insert(request.id);
+        self.queue.push_back(request.clone());
+        AdmissionDecision::Queued
     }
 
-    fn next(&mut self, now_ms: u64, room: &mut dyn Room) -> Vec<Action> {
+    fn schedule(&mut self, now_ms: u64, capacity: &mut dyn Capacity) -> Vec<Action> {
         let mut actions = Vec::new();
-        while let Some(offer) = self.queue.front() {
-            let wanted = self.queued.contains(&offer.id);
-            let late = offer.deadline_ms <= now_ms;
-            if wanted && !late && room.first_token_ms(offer).is_none() {
+        while let Some(request) = self.queue.front() {
+            let is_queued = self.queued.contains(&request.id);
+            let is_expired = request.deadline_ms <= now_ms;
+            if is_queued && !is_expired && capacity.first_token_ms(request).is_none() {
                 break;
             }
-            if wanted && !late {
-                room.taken(offer);
-                actions.push(Action::Start(offer.id));
-            } else if wanted {
+            if is_queued && !is_expired {
+                capacity.reserve(request);
+                actions.push(Action::Start(request.id));
+            } else if is_queued {
                 actions.push(Action::Refuse {
-                    id: offer.id,
+                    id: request.id,
                     reason: RefusalReason::Deadline,
                     retry_after_ms: RETRY_AFTER_MS,
                 });
             }
-            self.queued.remove(&offer.id);
+            self.queued.remove(&request.id);
             self.queue.pop_front();
         }
         actions
--- a/crates/mgs-admission/src/lib.rs
+++ b/crates/mgs-admission/src/lib.rs
@@ -1,13 +1,12 @@
-//! Limits, queues and fairness: which request may run next, and which is refused early.
+//! Admission control: rate and concurrency limits, fair queueing and early refusal.
 //!
-//! An [`queue::Admission`] is a trait object behind one lock of the gateway. It is told what
-//! happens and answers at once; it reads no clock and starts no thread.
+//! The gateway holds one [`queue::Admission`] trait object behind a lock. Its methods return
+//! without blocking, take the current time as a parameter and start no threads.
 
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
 mod ageing;
-mod answer;
 pub mod arena;
 pub mod bucket;
 pub mod drain;
@@ -17,4 +16,5 @@
 pub mod flows;
 pub mod lease;
 pub mod queue;
+mod response;
 pub mod rows;
--- a/crates/mgs-admission/src/queue.rs
+++ b/crates/mgs-admission/src/queue.rs
@@ -1,4 +1,4 @@
-//! The border between a gateway and the way it queues.
+//! The [`Admission`] interface between a gateway and its queue implementations.
 
 use mgs_schema::key::RequestId;
 use mgs_schema::settings::Snapshot;
@@ -8,117 +8,119 @@
 use crate::fifo::Fifo;
 use crate::lease::Limits;
 
-/// A request that asks to be admitted.
+/// A request submitted for admission.
 #[derive(Debug, Clone)]
-pub struct Offer {
-    /// Its identifier.
+pub struct AdmissionRequest {
+    /// Request identifier.
     pub id: RequestId,
-    /// Organisation.
+    /// Organisation that sent the request.
     pub organisation: String,
-    /// Kind of request.
+    /// Kind of request, which selects the row of limits.
     pub kind: String,
-    /// Model or name of the service.
+    /// Name of the model or service.
     pub model: String,
-    /// Prompt length.
+    /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// Longest answer.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// When it arrived, on the process's monotonic clock, in milliseconds.
+    /// Arrival time on the process's monotonic clock, in milliseconds.
     pub arrived_ms: u64,
-    /// When its allotted time ends, on the same clock.
+    /// Deadline of the request on the same clock, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// Answer to an offer.
+/// Immediate result of [`Admission::submit`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
-    /// It waits; an [`Action`] will follow.
+pub enum AdmissionDecision {
+    /// The request is queued; [`Admission::schedule`] later returns an [`Action`] for it.
     Queued,
-    /// It is refused.
+    /// The request is refused.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// When to come back, in milliseconds; 0 if unknown.
+        /// Time after which to retry, in milliseconds; 0 if unknown.
         retry_after_ms: u64,
     },
 }
 
-/// What is to be done with a queued request.
+/// What the gateway does with a queued request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Dispatch it now.
+    /// Dispatch the request now.
     Start(RequestId),
-    /// Refuse it now.
+    /// Refuse the request now.
     Refuse {
-        /// The request.
+        /// Identifier of the request.
         id: RequestId,
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// When to come back, in milliseconds; 0 if unknown.
+        /// Time after which to retry, in milliseconds; 0 if unknown.
         retry_after_ms: u64,
     },
 }
 
-/// What the fleet can take, asked while requests are chosen.
-pub trait Room {
-    /// Predicted time to first token if the offer were dispatched now, in milliseconds; `None`
+/// Free capacity of the fleet, queried while queued requests are scheduled.
+pub trait Capacity {
+    /// Predicted time to first token if the request were dispatched now, in milliseconds; `None`
     /// if no endpoint should take it now.
-    fn first_token_ms(&self, offer: &Offer) -> Option<u64>;
+    fn first_token_ms(&self, request: &AdmissionRequest) -> Option<u64>;
 
-    /// Notes that the offer takes its room, before the next question.
-    fn taken(&mut self, offer: &Offer);
+    /// Reserves capacity for a started request; later predictions take it into account.
+    fn reserve(&mut self, request: &AdmissionRequest);
 }
 
-/// Limits and queues.
+/// Limits and queues requests, and decides when each of them starts.
 pub trait Admission: Send {
-    /// Takes new settings.
-    fn settings(&mut self, now_ms: u64, snapshot: &Snapshot);
+    /// Replaces the settings.
+    fn apply_settings(&mut self, now_ms: u64, snapshot: &Snapshot);
 
-    /// Admits or refuses a request.
-    fn offer(&mut self, now_ms: u64, offer: &Offer) -> Verdict;
+    /// Queues or refuses a request.
+    fn submit(&mut self, now_ms: u64, request: &AdmissionRequest) -> AdmissionDecision;
 
-    /// Chooses what to do next with queued requests; called whenever something changed and on a
-    /// timer.
-    fn next(&mut self, now_ms: u64, room: &mut dyn Room) -> Vec<Action>;
+    /// Starts or refuses queued requests. The gateway calls it after each change and on a timer.
+    fn schedule(&mut self, now_ms: u64, capacity: &mut dyn Capacity) -> Vec<Action>;
 
-    /// A queued request is no longer wanted; returns whether it was still queued.
+    /// Removes a queued request; returns whether it was still queued.
     fn cancel(&mut self, now_ms: u64, id: RequestId) -> bool;
 
-    /// A started request has ended.
+    /// Records the end of a started request and the number of tokens that it generated.
     fn finished(&mut self, now_ms: u64, id: RequestId, generated_tokens: u64);
 
-    /// What each limited row in use wants now, to ask its home for a share. Each call tells the
-    /// rates since the one before it. A queue without limits wants nothing.
+    /// Returns the demand of each active row with limits, for which the gateway requests a lease.
+    ///
+    /// The rates are averages since the previous call. A queue without limits has no demand.
     fn demands(&mut self, _now_ms: u64) -> Vec<Demand> {
         Vec::new()
     }
 
-    /// Sets what this gateway may admit of a row's limits from now on; limits change with the
-    /// settings, so it is set again after each new settings and whenever a share changes.
+    /// Sets the share of a row's limits that this gateway may admit.
+    ///
+    /// New settings can replace a row's limits, so the gateway calls this after each
+    /// [`Admission::apply_settings`] and whenever the share changes.
     fn set_share(&mut self, _now_ms: u64, _organisation: &str, _kind: &str, _limits: &Limits) {}
 }
 
-/// What a limited row in use wants.
+/// Demand of an active row with limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Demand {
-    /// Organisation.
+    /// Organisation of the row.
     pub organisation: String,
-    /// Kind of request, `*` for all without a row of their own.
+    /// Kind of request; `*` for all kinds without a row of their own.
     pub kind: String,
-    /// The whole limits, of which a share is wanted.
+    /// Configured limits of the row, across all gateways.
     pub limits: Limits,
-    /// Requests offered per second.
+    /// Requests submitted per second, including refused ones.
     pub requests_per_s: f64,
-    /// Tokens offered per second.
+    /// Tokens submitted per second: prompt tokens and maximum generated tokens.
     pub tokens_per_s: f64,
-    /// Requests in flight.
+    /// Requests admitted and not yet ended.
     pub in_flight: u32,
 }
 
-/// Names that [`by_name`] knows; the first is the product's own.
+/// Queue names that [`by_name`] accepts; the first one is the default.
 pub const NAMES: [&str; 2] = ["fair", "fifo"];
 
-/// A fresh queue of a name.
+/// Creates an empty queue by its name; `None` if the name is unknown.
 ///
 /// ```
 /// assert!(mgs_admission::queue::by_name("fair").is_some());
--- a/crates/mgs-admission/tests/common/mod.rs
+++ b/crates/mgs-admission/tests/common/mod.rs
@@ -1,15 +1,15 @@
-//! Offers, settings and a fleet of limited room for the tests of admission.
+//! Requests and a fleet with limited capacity for the admission tests.
 
 use std::collections::HashMap;
 
 use mgs_admission::queue::Action;
-use mgs_admission::queue::Offer;
-use mgs_admission::queue::Room;
+use mgs_admission::queue::AdmissionRequest;
+use mgs_admission::queue::Capacity;
 use mgs_schema::key::RequestId;
 
-/// An offer that arrives at 0 with 10 s of time.
-pub(crate) fn offer(serial: u64, organisation: &str, prompt_tokens: u64) -> Offer {
-    Offer {
+/// A request that arrives at 0 with a deadline of 10 s.
+pub(crate) fn request(serial: u64, organisation: &str, prompt_tokens: u64) -> AdmissionRequest {
+    AdmissionRequest {
         id: RequestId { origin: 1, serial },
         organisation: organisation.into(),
         kind: "chat".into(),
@@ -21,37 +21,40 @@
     }
 }
 
-/// Room for so many tokens.
+/// Capacity counted in prompt tokens.
 #[derive(Debug, Default)]
-pub(crate) struct Tokens {
-    /// Tokens that still fit.
-    pub(crate) free: u64,
-    /// Tokens taken by organisation.
-    pub(crate) taken: HashMap<String, u64>,
+pub(crate) struct TokenCapacity {
+    /// Prompt tokens that can still be started.
+    pub(crate) free_tokens: u64,
+    /// Prompt tokens started, by organisation.
+    pub(crate) taken_tokens: HashMap<String, u64>,
 }
 
-impl Tokens {
-    /// Room for `free` tokens.
-    pub(crate) fn new(free: u64) -> Self {
+impl TokenCapacity {
+    /// Capacity for `free_tokens` prompt tokens.
+    pub(crate) fn new(free_tokens: u64) -> Self {
         Self {
-            free,
+            free_tokens,
             ..Self::default()
         }
     }
 }
 
-impl Room for Tokens {
-    fn first_token_ms(&self, offer: &Offer) -> Option<u64> {
-        (offer.prompt_tokens <= self.free).then_some(1)
+impl Capacity for TokenCapacity {
+    fn first_token_ms(&self, request: &AdmissionRequest) -> Option<u64> {
+        (request.prompt_tokens <= self.free_tokens).then_some(1)
     }
 
-    fn taken(&mut self, offer: &Offer) {
-        self.free -= offer.prompt_tokens;
-        *self.taken.entry(offer.organisation.clone()).or_default() += offer.prompt_tokens;
+    fn reserve(&mut self, request: &AdmissionRequest) {
+        self.free_tokens -= request.prompt_tokens;
+        *self
+            .taken_tokens
+            .entry(request.organisation.clone())
+            .or_default() += request.prompt_tokens;
     }
 }
 
-/// Serials of the requests started by `actions`.
+/// Serial numbers of the requests that `actions` start.
 pub(crate) fn started(actions: &[Action]) -> Vec<u64> {
     let serial = |action: &Action| match action {
         Action::Start(id) => Some(id.serial),
--- a/crates/mgs-admission/tests/lease.rs
+++ b/crates/mgs-admission/tests/lease.rs
@@ -1,12 +1,12 @@
-//! The sum of what gateways may admit, under gateways that come, go and part.
+//! Bounds on the sum of the leased limits while gateways join, leave and lose their connections.
 
 use std::collections::BTreeMap;
 
-use mgs_admission::lease::home;
-use mgs_admission::lease::Grantor;
+use mgs_admission::lease::home_gateway;
+use mgs_admission::lease::LeaseGrantor;
+use mgs_admission::lease::LeaseHolder;
 use mgs_admission::lease::Limits;
 use mgs_admission::lease::Options;
-use mgs_admission::lease::Tenure;
 use mgs_schema::wire::LimitLeaseRequest;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -15,17 +15,17 @@
 
 const LIMIT_PER_S: f64 = 1_000.0;
 const STEP_MS: u64 = 100;
-const SETTLED_MS: u64 = 4_000;
+const SETTLE_MS: u64 = 4_000;
 
-/// Gateways that hold one list of live gateways, and reach each other.
+/// A simulated set of gateways with their lists of live gateways and their connections.
 #[derive(Debug, Default)]
 struct Gateways {
     now_ms: u64,
-    tenures: BTreeMap<u64, Tenure>,
-    grantors: BTreeMap<u64, Grantor>,
-    /// Gateways that can't reach the others, each alone.
-    parted: Vec<u64>,
-    /// Lists of live gateways, by the gateway that holds it.
+    holders: BTreeMap<u64, LeaseHolder>,
+    grantors: BTreeMap<u64, LeaseGrantor>,
+    /// Gateways that are each cut off from all others.
+    partitioned: Vec<u64>,
+    /// The list of live gateways that each gateway holds.
     lists: BTreeMap<u64, Vec<u64>>,
     wanted_per_s: BTreeMap<u64, f64>,
 }
@@ -40,7 +40,7 @@
 fn home_of(list: &[u64]) -> u64 {
     let names: Vec<String> = list.iter().map(u64::to_string).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let found = home("org-1", "chat", &names).expect("there are gateways");
+    let found = home_gateway("org-1", "chat", &names).expect("there are gateways");
     found.parse().expect("names are numbers")
 }
 
@@ -49,17 +49,17 @@
         let mut gateways = Self::default();
         let all: Vec<u64> = (1..=count).collect();
         for gateway in &all {
-            gateways.tenures.insert(*gateway, Tenure::default());
+            gateways.holders.insert(*gateway, LeaseHolder::default());
         }
         gateways.publish(&all);
         gateways
     }
 
-    /// All hold this list.
+    /// Replaces the list of live gateways at all gateways.
     fn publish(&mut self, list: &[u64]) {
-        self.tenures.retain(|gateway, _| list.contains(gateway));
+        self.holders.retain(|gateway, _| list.contains(gateway));
         for gateway in list {
-            self.tenures.entry(*gateway).or_default();
+            self.holders.entry(*gateway).or_default();
             self.lists.insert(*gateway, list.to_vec());
         }
         self.lists.retain(|gateway, _| list.contains(gateway));
@@ -68,26 +68,26 @@
     }
 
     fn reaches(&self, a: u64, b: u64) -> bool {
-        a == b || !(self.parted.contains(&a) || self.parted.contains(&b))
+        a == b || !(self.partitioned.contains(&a) || self.partitioned.contains(&b))
     }
 
-    /// Each gateway that is due asks its home. Returns the sum of what they may admit then.
+    /// Lets each gateway whose lease is due request a new one. Returns the sum of the admitted rates.
     fn step(&mut self) -> f64 {
         self.now_ms += STEP_MS;
         let options = Options::default();
-        let all: Vec<u64> = self.tenures.keys().copied().collect();
+        let all: Vec<u64> = self.holders.keys().copied().collect();
         for gateway in &all {
             let list = self.lists[gateway].clone();
             let home = home_of(&list);
-            let due = self.tenures[gateway].is_due(self.now_ms, &options);
-            if !due || !self.reaches(*gateway, home) || !self.tenures.contains_key(&home) {
+            let due = self.holders[gateway].is_renewal_due(self.now_ms, &options);
+            if !due || !self.reaches(*gateway, home) || !self.holders.contains_key(&home) {
                 continue;
             }
             let now_ms = self.now_ms;
             let grantor = self
                 .grantors
                 .entry(home)
-                .or_insert_with(|| Grantor::new(now_ms, options));
+                .or_insert_with(|| LeaseGrantor::new(now_ms, options));
             let request = LimitLeaseRequest {
                 gateway_incarnation: *gateway,
                 wanted_requests_per_s: self.wanted_per_s.get(gateway).copied().unwrap_or(0.0),
@@ -95,64 +95,67 @@
             };
             let live = &self.lists[&home];
             let lease = grantor.grant(now_ms, &limits(), live, &request);
-            let tenure = self.tenures.get_mut(gateway).expect("it is there");
-            tenure.take(now_ms, &lease);
+            let holder = self
+                .holders
+                .get_mut(gateway)
+                .expect("each gateway has a lease holder");
+            holder.accept(now_ms, &lease);
         }
         self.sum()
     }
 
-    fn may_admit(&self, gateway: u64) -> f64 {
+    fn admitted_rate(&self, gateway: u64) -> f64 {
         let live = self.lists[&gateway].len();
-        let limits = self.tenures[&gateway].limits(self.now_ms, &limits(), live);
+        let limits = self.holders[&gateway].effective_limits(self.now_ms, &limits(), live);
         limits.requests_per_s
     }
 
     fn sum(&self) -> f64 {
-        self.tenures
+        self.holders
             .keys()
-            .map(|gateway| self.may_admit(*gateway))
+            .map(|gateway| self.admitted_rate(*gateway))
             .sum()
     }
 
     fn settle(&mut self) {
-        for _ in 0..SETTLED_MS / STEP_MS {
+        for _ in 0..SETTLE_MS / STEP_MS {
             self.step();
         }
     }
 }
 
-fn within(sum: f64, factor: f64) -> bool {
+fn within_limit(sum: f64, factor: f64) -> bool {
     sum <= LIMIT_PER_S * factor * 1.000_001
 }
 
 #[test]
-fn a_busy_gateway_gets_what_the_idle_ones_leave() {
+fn a_busy_gateway_gets_the_shares_of_idle_ones() {
     let mut gateways = Gateways::new(4);
     gateways.wanted_per_s.insert(1, 5_000.0);
     gateways.settle();
     gateways.settle();
     assert!(
-        gateways.may_admit(1) > 0.9 * LIMIT_PER_S,
+        gateways.admitted_rate(1) > 0.9 * LIMIT_PER_S,
         "{}",
-        gateways.may_admit(1)
+        gateways.admitted_rate(1)
     );
-    assert!(within(gateways.sum(), 1.0));
+    assert!(within_limit(gateways.sum(), 1.0));
 }
 
 #[test]
-fn two_busy_gateways_share() {
+fn two_busy_gateways_share_by_demand() {
     let mut gateways = Gateways::new(4);
     gateways.wanted_per_s.insert(1, 3_000.0);
     gateways.wanted_per_s.insert(2, 1_000.0);
     gateways.settle();
     gateways.settle();
-    let ratio = gateways.may_admit(1) / gateways.may_admit(2);
+    let ratio = gateways.admitted_rate(1) / gateways.admitted_rate(2);
     assert!((2.0..4.0).contains(&ratio), "{ratio}");
-    assert!(within(gateways.sum(), 1.0));
+    assert!(within_limit(gateways.sum(), 1.0));
 }
 
 #[test]
-fn a_parted_gateway_uses_its_even_part_and_no_limit_is_passed() {
+fn a_partitioned_gateway_uses_its_even_share_within_the_limit() {
     let mut gateways = Gateways::new(4);
     for gateway in 1..=4 {
         gateways
@@ -161,30 +164,30 @@
     }
     gateways.settle();
     let home = home_of(&[1, 2, 3, 4]);
-    let parted = if home == 2 { 3 } else { 2 };
-    gateways.parted.push(parted);
+    let partitioned = if home == 2 { 3 } else { 2 };
+    gateways.partitioned.push(partitioned);
     for _ in 0..100 {
         let sum = gateways.step();
-        assert!(within(sum, 1.0), "{sum}");
+        assert!(within_limit(sum, 1.0), "{sum}");
     }
-    assert_eq!(gateways.may_admit(parted), LIMIT_PER_S / 4.0);
+    assert_eq!(gateways.admitted_rate(partitioned), LIMIT_PER_S / 4.0);
 }
 
 #[test]
-fn without_a_home_all_use_their_even_part() {
+fn without_a_reachable_home_gateway_all_use_their_even_share() {
     let mut gateways = Gateways::new(4);
     gateways.settle();
-    gateways.parted = vec![1, 2, 3, 4];
+    gateways.partitioned = vec![1, 2, 3, 4];
     let home = home_of(&[1, 2, 3, 4]);
     gateways.settle();
     for gateway in (1..=4).filter(|g| *g != home) {
-        assert_eq!(gateways.may_admit(gateway), LIMIT_PER_S / 4.0);
+        assert_eq!(gateways.admitted_rate(gateway), LIMIT_PER_S / 4.0);
     }
-    assert!(within(gateways.sum(), 1.0));
+    assert!(within_limit(gateways.sum(), 1.0));
 }
 
 #[rstest]
-fn coming_going_and_parting_stay_within_the_bound(#[values(1, 2, 3, 4, 5)] seed: u64) {
+fn membership_changes_and_partitions_stay_within_the_bound(#[values(1, 2, 3, 4, 5)] seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut gateways = Gateways::new(4);
     gateways.settle();
@@ -193,8 +196,8 @@
     let mut worst = 0.0f64;
     let mut worst_changing = 0.0f64;
     for _ in 0..2_000 {
-        let mut list: Vec<u64> = gateways.tenures.keys().copied().collect();
-        let before = (list.clone(), gateways.parted.clone());
+        let mut list: Vec<u64> = gateways.holders.keys().copied().collect();
+        let before = (list.clone(), gateways.partitioned.clone());
         match rng.random_range(0..60) {
             0 if list.len() < 8 => {
                 list.push(next);
@@ -205,8 +208,8 @@
                 list.remove(rng.random_range(0..list.len()));
                 gateways.publish(&list);
             }
-            2 => gateways.parted = vec![list[rng.random_range(0..list.len())]],
-            3 => gateways.parted.clear(),
+            2 => gateways.partitioned = vec![list[rng.random_range(0..list.len())]],
+            3 => gateways.partitioned.clear(),
             4..8 => {
                 let gateway = list[rng.random_range(0..list.len())];
                 let wanted = rng.random_range(0.0..3_000.0);
@@ -214,8 +217,8 @@
             }
             _ => {}
         }
-        let list: Vec<u64> = gateways.tenures.keys().copied().collect();
-        if before != (list, gateways.parted.clone()) {
+        let list: Vec<u64> = gateways.holders.keys().copied().collect();
+        if before != (list, gateways.partitioned.clone()) {
             changed_ms = gateways.now_ms;
         }
         let sum = gateways.step();
@@ -225,14 +228,14 @@
             worst = worst.max(sum);
         }
     }
-    assert!(within(worst, 1.0), "{worst}");
-    assert!(within(worst_changing, 2.0), "{worst_changing}");
+    assert!(within_limit(worst, 1.0), "{worst}");
+    assert!(within_limit(worst_changing, 2.0), "{worst_changing}");
 }
 
 #[rstest]
 #[case::two_lists(2)]
 #[case::four_lists(4)]
-fn lists_that_differ_multiply_the_limit_at_most_by_their_number(#[case] groups: u64) {
+fn differing_lists_multiply_the_limit_at_most_by_their_number(#[case] groups: u64) {
     let mut gateways = Gateways::new(8);
     gateways.settle();
     for gateway in 1..=8u64 {
@@ -243,6 +246,6 @@
     }
     for _ in 0..200 {
         let sum = gateways.step();
-        assert!(within(sum, groups as f64), "{sum}");
+        assert!(within_limit(sum, groups as f64), "{sum}");
     }
 }
--- a/crates/mgs-gateway/src/duty/shares.rs
+++ b/crates/mgs-gateway/src/duty/shares.rs
@@ -7,11 +7,11 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-use mgs_admission::lease::home;
-use mgs_admission::lease::Grantor;
+use mgs_admission::lease::home_gateway;
+use mgs_admission::lease::LeaseGrantor;
+use mgs_admission::lease::LeaseHolder;
 use mgs_admission::lease::Limits;
 use mgs_admission::lease::Options;
-use mgs_admission::lease::Tenure;
 use mgs_admission::queue::Demand;
 use mgs_schema::settings::LimitRow;
 use mgs_schema::wire::envelope::Body;
@@ -30,7 +30,7 @@
 /// The home's side.
 #[derive(Debug, Default)]
 pub(crate) struct Home {
-    grantors: Mutex<BTreeMap<RowName, Grantor>>,
+    grantors: Mutex<BTreeMap<RowName, LeaseGrantor>>,
 }
 
 impl Home {
@@ -44,7 +44,7 @@
         let (organisation, kind) = (&request.organisation, &request.kind);
         let live = links.live();
         let names: Vec<&str> = live.iter().map(|gateway| gateway.name.as_str()).collect();
-        if home(organisation, kind, &names) != Some(core.options.name.as_str()) {
+        if home_gateway(organisation, kind, &names) != Some(core.options.name.as_str()) {
             return None;
         }
         let table = core.settings.table();
@@ -54,7 +54,7 @@
         let mut grantors = self.grantors.lock().unwrap_or_else(PoisonError::into_inner);
         let grantor = grantors
             .entry((organisation.clone(), kind.clone()))
-            .or_insert_with(|| Grantor::new(now_ms, Options::default()));
+            .or_insert_with(|| LeaseGrantor::new(now_ms, Options::default()));
         Some(grantor.grant(now_ms, &limits, &incarnations, request))
     }
 }
@@ -75,7 +75,7 @@
     }
 }
 
-fn look(duties: &Duties, tenures: &mut BTreeMap<RowName, Tenure>) {
+fn look(duties: &Duties, tenures: &mut BTreeMap<RowName, LeaseHolder>) {
     let core = &duties.core;
     // A home that didn't answer isn't asked again before the next look.
     let mut silent = HashSet::new();
@@ -83,18 +83,18 @@
         let name = (demand.organisation.clone(), demand.kind.clone());
         let tenure = tenures.entry(name).or_default();
         let asked_ms = core.now_ms();
-        if !tenure.is_due(asked_ms, &Options::default()) {
+        if !tenure.is_renewal_due(asked_ms, &Options::default()) {
             continue;
         }
         if let Some(lease) = ask(duties, &demand, &mut silent) {
-            tenure.take(asked_ms, &lease);
+            tenure.accept(asked_ms, &lease);
         }
     }
     let table = core.settings.table();
     let gateways = duties.links.gateways() as usize;
     for ((organisation, kind), tenure) in tenures {
         if let Some(row) = table.limit(organisation, kind) {
-            let share = tenure.limits(core.now_ms(), &limits(row), gateways);
+            let share = tenure.effective_limits(core.now_ms(), &limits(row), gateways);
             core.hub.set_share(core, organisation, kind, &share);
         }
     }
@@ -104,7 +104,7 @@
     let core = &duties.core;
     let live = duties.links.live();
     let names: Vec<&str> = live.iter().map(|gateway| gateway.name.as_str()).collect();
-    let at = home(&demand.organisation, &demand.kind, &names)?;
+    let at = home_gateway(&demand.organisation, &demand.kind, &names)?;
     let request = LimitLeaseRequest {
         organisation: demand.organisation.clone(),
         kind: demand.kind.clone(),
--- a/crates/mgs-gateway/src/hub.rs
+++ b/crates/mgs-gateway/src/hub.rs
@@ -15,8 +15,8 @@
 use mgs_admission::lease::Limits;
 use mgs_admission::queue::Action;
 use mgs_admission::queue::Admission;
+use mgs_admission::queue::AdmissionDecision;
 use mgs_admission::queue::Demand;
-use mgs_admission::queue::Verdict;
 use mgs_request::outcome::Refusal;
 use mgs_routing::policy::Choice;
 use mgs_schema::key::RequestId;
@@ -91,7 +91,9 @@
     pub(crate) fn settings(&self, core: &Core) {
         let table = core.settings.table();
         let mut queue = self.lock();
-        queue.admission.settings(core.now_ms(), table.snapshot());
+        queue
+            .admission
+            .apply_settings(core.now_ms(), table.snapshot());
     }
 
     /// Offers a request and waits until it may start; a refusal comes as an error.
@@ -111,14 +113,14 @@
 
     fn offer(&self, core: &Core, job: &Arc<Job>, signal: Sender<Signal>) -> Result<(), Refusal> {
         let mut queue = self.lock();
-        let verdict = queue.admission.offer(core.now_ms(), &job.offer());
+        let verdict = queue.admission.submit(core.now_ms(), &job.offer());
         match verdict {
-            Verdict::Queued => {
+            AdmissionDecision::Queued => {
                 let job = job.clone();
                 queue.waiting.insert(job.id, Waiting { job, signal });
                 Ok(())
             }
-            Verdict::Refused {
+            AdmissionDecision::Refused {
                 reason,
                 retry_after_ms,
             } => Err(refusal(reason, retry_after_ms)),
@@ -188,7 +190,7 @@
             last: RefCell::new(None),
             chosen: HashMap::new(),
         };
-        let actions = admission.next(now_ms, &mut room);
+        let actions = admission.schedule(now_ms, &mut room);
         let mut chosen = room.chosen;
         for action in actions {
             let (id, signal) = match action {
--- a/crates/mgs-gateway/src/job.rs
+++ b/crates/mgs-gateway/src/job.rs
@@ -1,6 +1,6 @@
 //! A request as the gateway understood it.
 
-use mgs_admission::queue::Offer;
+use mgs_admission::queue::AdmissionRequest;
 use mgs_fleet::view::EndpointKey;
 use mgs_routing::policy::Ask;
 use mgs_schema::key::RequestId;
@@ -70,8 +70,8 @@
     }
 
     /// The offer for admission.
-    pub fn offer(&self) -> Offer {
-        Offer {
+    pub fn offer(&self) -> AdmissionRequest {
+        AdmissionRequest {
             id: self.id,
             organisation: self.organisation.clone(),
             kind: self.kind.clone(),
--- a/crates/mgs-gateway/src/room.rs
+++ b/crates/mgs-gateway/src/room.rs
@@ -4,8 +4,8 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use mgs_admission::queue::Offer;
-use mgs_admission::queue::Room;
+use mgs_admission::queue::AdmissionRequest;
+use mgs_admission::queue::Capacity;
 use mgs_fleet::view::View;
 use mgs_routing::policy::Choice;
 use mgs_routing::policy::NoChoice;
@@ -23,7 +23,7 @@
     pub(crate) spans: &'a span::Options,
     pub(crate) now_ms: u64,
     pub(crate) waiting: &'a HashMap<RequestId, Waiting>,
-    /// The last choice, which [`Room::taken`] most likely takes up.
+    /// The last choice, which [`Capacity::reserve`] most likely takes up.
     pub(crate) last: RefCell<Option<(RequestId, Choice)>>,
     /// Choices for the requests that took their room.
     pub(crate) chosen: HashMap<RequestId, Choice>,
@@ -46,8 +46,8 @@
     }
 }
 
-impl Room for FleetRoom<'_> {
-    fn first_token_ms(&self, offer: &Offer) -> Option<u64> {
+impl Capacity for FleetRoom<'_> {
+    fn first_token_ms(&self, offer: &AdmissionRequest) -> Option<u64> {
         let choice = match self.choose(offer.id)? {
             Ok(choice) => choice,
             Err(NoChoice::PromptExceedsMemory) => return self.span_first_token_ms(offer.id),
@@ -58,7 +58,7 @@
         Some(first_token_ms)
     }
 
-    fn taken(&mut self, offer: &Offer) {
+    fn reserve(&mut self, offer: &AdmissionRequest) {
         let last = self.last.take().filter(|(id, _)| *id == offer.id);
         let choice = last.map(|(_, choice)| choice);
         let Some(choice) = choice.or_else(|| self.choose(offer.id)?.ok()) else {
--- a/crates/mgs-routing/benches/decision.rs
+++ b/crates/mgs-routing/benches/decision.rs
@@ -13,8 +13,8 @@
 use criterion::Criterion;
 use mgs_admission::fair::FairQueue;
 use mgs_admission::queue::Admission;
-use mgs_admission::queue::Offer;
-use mgs_admission::queue::Room;
+use mgs_admission::queue::AdmissionRequest;
+use mgs_admission::queue::Capacity;
 use mgs_fleet::fleet::Fleet;
 use mgs_fleet::fleet::Options;
 use mgs_fleet::view::View;
@@ -56,7 +56,7 @@
 }
 
 impl FleetRoom<'_> {
-    fn ask(&self, offer: &Offer) -> Ask<'_> {
+    fn ask(&self, offer: &AdmissionRequest) -> Ask<'_> {
         Ask {
             kind: EndpointKind::Engine,
             model: MODEL,
@@ -72,8 +72,8 @@
     }
 }
 
-impl Room for FleetRoom<'_> {
-    fn first_token_ms(&self, offer: &Offer) -> Option<u64> {
+impl Capacity for FleetRoom<'_> {
+    fn first_token_ms(&self, offer: &AdmissionRequest) -> Option<u64> {
         let choice = self.policy.choose(self.view, &self.ask(offer), self.random);
         let choice = choice.ok()?;
         let first_token_ms = choice.first_token_ms;
@@ -81,7 +81,7 @@
         Some(first_token_ms)
     }
 
-    fn taken(&mut self, offer: &Offer) {
+    fn reserve(&mut self, offer: &AdmissionRequest) {
         if let Some(choice) = self.last.borrow().as_ref() {
             let ask = Ask {
                 now_ms: DISPATCHED_MS,
@@ -161,10 +161,10 @@
         let view = live_view(&settings);
         let policy = Marigold::default();
         let mut admission = FairQueue::default();
-        admission.settings(0, &settings);
+        admission.apply_settings(0, &settings);
         let hashes: Vec<u64> = (0..PROMPT_BLOCKS).collect();
-        let offers: Vec<Offer> = (0..ORGANISATIONS)
-            .map(|i| Offer {
+        let offers: Vec<AdmissionRequest> = (0..ORGANISATIONS)
+            .map(|i| AdmissionRequest {
                 id: RequestId {
                     origin: 1,
                     serial: 0,
@@ -186,7 +186,7 @@
                 let now_ms = serial;
                 let mut offer = offers[serial as usize % ORGANISATIONS].clone();
                 offer.id.serial = serial;
-                admission.offer(now_ms, &offer);
+                admission.submit(now_ms, &offer);
                 let mut room = FleetRoom {
                     policy: &policy,
                     view: &view,
@@ -195,7 +195,7 @@
                     random: serial.wrapping_mul(0x9e37_79b9_7f4a_7c15),
                     last: RefCell::new(None),
                 };
-                let actions = admission.next(now_ms, &mut room);
+                let actions = admission.schedule(now_ms, &mut room);
                 assert_eq!(actions.len(), 1);
                 let endpoint = room.last.borrow().as_ref().map(|c| c.endpoint);
                 let endpoint = endpoint.expect("it was chosen");
--- a/crates/mgs-routing/benches/trial/run.rs
+++ b/crates/mgs-routing/benches/trial/run.rs
@@ -9,9 +9,9 @@
 use hdrhistogram::Histogram;
 use mgs_admission::queue::Action;
 use mgs_admission::queue::Admission;
-use mgs_admission::queue::Offer;
-use mgs_admission::queue::Room;
-use mgs_admission::queue::Verdict;
+use mgs_admission::queue::AdmissionDecision;
+use mgs_admission::queue::AdmissionRequest;
+use mgs_admission::queue::Capacity;
 use mgs_fleet::fleet;
 use mgs_fleet::fleet::Fleet;
 use mgs_fleet::view::EndpointKey;
@@ -104,8 +104,8 @@
     }
 }
 
-impl Room for FleetRoom<'_> {
-    fn first_token_ms(&self, offer: &Offer) -> Option<u64> {
+impl Capacity for FleetRoom<'_> {
+    fn first_token_ms(&self, offer: &AdmissionRequest) -> Option<u64> {
         let arrival = &self.arrivals[offer.id.serial as usize];
         let ask = ask(arrival, self.zone, self.now_ms);
         let random = self.rng.borrow_mut().random();
@@ -115,7 +115,7 @@
         Some(first_token_ms)
     }
 
-    fn taken(&mut self, offer: &Offer) {
+    fn reserve(&mut self, offer: &AdmissionRequest) {
         let Some((serial, choice)) = self.last.take() else {
             return;
         };
@@ -187,7 +187,7 @@
             for key in 0..ENGINES {
                 fleet.welcome(EndpointKey(key as u32), 1, "");
             }
-            admission.settings(0, &settings);
+            admission.apply_settings(0, &settings);
             let view = fleet.view();
             gateways.push(Gateway {
                 fleet,
@@ -264,7 +264,7 @@
     fn arrive(&mut self, now_ms: u64, id: usize) {
         let arrival = &self.arrivals[id];
         let gateway = arrival.gateway;
-        let offer = Offer {
+        let offer = AdmissionRequest {
             id: RequestId {
                 origin: 0,
                 serial: id as u64,
@@ -280,9 +280,9 @@
         if self.counts(id) {
             self.figures.by_organisation[arrival.organisation].0 += arrival.prompt_tokens;
         }
-        match self.gateways[gateway].admission.offer(now_ms, &offer) {
-            Verdict::Queued => self.pump(now_ms, gateway),
-            Verdict::Refused { reason, .. } => self.refused(id, format!("{reason:?}")),
+        match self.gateways[gateway].admission.submit(now_ms, &offer) {
+            AdmissionDecision::Queued => self.pump(now_ms, gateway),
+            AdmissionDecision::Refused { reason, .. } => self.refused(id, format!("{reason:?}")),
         }
     }
 
@@ -311,7 +311,7 @@
             last: RefCell::new(None),
             chosen: HashMap::new(),
         };
-        let actions = g.admission.next(now_ms, &mut room);
+        let actions = g.admission.schedule(now_ms, &mut room);
         let chosen = room.chosen;
         for action in actions {
             match action {
