--- a/crates/mgs-gateway/src/core.rs
+++ b/crates/mgs-gateway/src/core.rs
@@ -21,7 +21,7 @@
 use mgs_fleet::fleet::Fleet;
 use mgs_fleet::view::View;
 use mgs_observe::admin::Health;
-use mgs_request::budget::Budget;
+use mgs_request::budget::RetryBudget;
 use mgs_request::outcome::Refusal;
 use mgs_routing::policy::NoChoice;
 use mgs_routing::policy::Policy;
@@ -56,7 +56,7 @@
     pub(crate) incarnation: u64,
     pub(crate) settings: Arc<Holder>,
     pub(crate) policy: Arc<dyn Policy>,
-    pub(crate) budget: Budget,
+    pub(crate) budget: RetryBudget,
     pub(crate) runtime: Runtime,
     pub(crate) metrics: Metrics,
     pub(crate) hub: Hub,
@@ -101,7 +101,7 @@
             incarnation,
             settings: options.settings.clone(),
             policy,
-            budget: Budget::new(options.retry_budget.clone()),
+            budget: RetryBudget::new(options.retry_budget.clone()),
             runtime,
             metrics: Metrics::new(&options.registry),
             hub: Hub::new(admission),
--- a/crates/mgs-gateway/src/drive/gather.rs
+++ b/crates/mgs-gateway/src/drive/gather.rs
@@ -48,7 +48,7 @@
             attempt: number,
             span,
         });
-        Event::Gathering { attempt: number }
+        Event::ReservingMemory { attempt: number }
     }
 
     /// Takes what has come for the span; returns whether there was anything for the request.
@@ -104,7 +104,8 @@
             first_token_ms: u64::MAX,
             cached_tokens: 0,
         };
-        self.events.push_back(Event::Gathered { attempt: number });
+        self.events
+            .push_back(Event::MemoryReserved { attempt: number });
         let event = self.send(number, &choice, carried);
         self.events.push_back(event);
     }
--- a/crates/mgs-gateway/src/drive/hear.rs
+++ b/crates/mgs-gateway/src/drive/hear.rs
@@ -142,7 +142,7 @@
             Err(error) => {
                 self.attempts[index].call = None;
                 log::info!(request_id:% = self.job.id, error:% = error; "path lost");
-                Event::PathLost { attempt: number }
+                Event::ConnectionLost { attempt: number }
             }
         };
         Some(event)
--- a/crates/mgs-gateway/src/drive/mod.rs
+++ b/crates/mgs-gateway/src/drive/mod.rs
@@ -12,8 +12,8 @@
 use mgs_fleet::view::EndpointKey;
 use mgs_request::event::Action;
 use mgs_request::event::Event;
-use mgs_request::life;
-use mgs_request::life::Life;
+use mgs_request::lifecycle;
+use mgs_request::lifecycle::RequestLifecycle;
 use mgs_request::outcome::End;
 use mgs_request::outcome::Refusal;
 use mgs_routing::policy::Choice;
@@ -80,7 +80,7 @@
     attempts: Vec<Attempt>,
     excluded: Vec<EndpointKey>,
     events: VecDeque<Event>,
-    life: Life,
+    life: RequestLifecycle,
     choice: Option<Choice>,
     permits: Option<&'a dyn Permits>,
     /// Another gateway has the request, and may run it.
@@ -96,23 +96,23 @@
     looked_ms: u64,
 }
 
-fn options(core: &Core, job: &Job, hedge: bool) -> life::Options {
-    life::Options {
+fn options(core: &Core, job: &Job, hedge: bool) -> lifecycle::Options {
+    lifecycle::Options {
         deadline_ms: job.deadline_ms,
         idempotent: job.idempotent,
         hedge,
-        plant: core.options.plant,
-        ..life::Options::default()
+        injected_bug: core.options.plant,
+        ..lifecycle::Options::default()
     }
 }
 
 impl<'a, S: Sink> Drive<'a, S> {
     /// Runs a request that was admitted, to its end.
     pub(crate) fn run(core: &'a Core, admitted: Admitted<'a>, sink: &'a mut S) -> Report {
-        core.budget.earn();
+        core.budget.add_first_attempt();
         // Each dispatch needs a permit of its own, so there is one at a time.
         let hedge = core.options.hedge && admitted.permits.is_none();
-        let (life, actions) = Life::begin(options(core, admitted.job, hedge));
+        let (life, actions) = RequestLifecycle::begin(options(core, admitted.job, hedge));
         let mut drive = Self::new(core, admitted, life, sink);
         drive.act(actions);
         drive.finish()
@@ -125,7 +125,7 @@
         target: &Target,
         sink: &'a mut S,
     ) -> Report {
-        let (life, actions) = Life::resume(options(core, job, false));
+        let (life, actions) = RequestLifecycle::resume(options(core, job, false));
         let admitted = Admitted {
             job,
             body: Vec::new(),
@@ -143,7 +143,12 @@
         drive.finish()
     }
 
-    fn new(core: &'a Core, admitted: Admitted<'a>, life: Life, sink: &'a mut S) -> Self {
+    fn new(
+        core: &'a Core,
+        admitted: Admitted<'a>,
+        life: RequestLifecycle,
+        sink: &'a mut S,
+    ) -> Self {
         Self {
             core,
             job: admitted.job,
@@ -167,7 +172,9 @@
     fn finish(mut self) -> Report {
         loop {
             while let Some(event) = self.events.pop_front() {
-                let actions = self.life.on(self.core.now_ms(), event, &self.core.budget);
+                let actions = self
+                    .life
+                    .handle_event(self.core.now_ms(), event, &self.core.budget);
                 self.act(actions);
             }
             if let Some(end) = self.end.take() {
--- a/crates/mgs-gateway/src/gateway.rs
+++ b/crates/mgs-gateway/src/gateway.rs
@@ -17,7 +17,7 @@
 use mgs_observe::admin::Health;
 use mgs_observe::metrics::Registry;
 use mgs_request::budget;
-use mgs_request::plant::Plant;
+use mgs_request::injected_bug::InjectedBug;
 use mgs_routing::policy;
 use mgs_routing::span;
 use mgs_settings::follow;
@@ -103,7 +103,7 @@
     /// Where its metrics are registered.
     pub registry: Registry,
     /// A deliberate bug, for fault runs only.
-    pub plant: Plant,
+    pub plant: InjectedBug,
 }
 
 impl Default for Options {
@@ -133,7 +133,7 @@
             retry_budget: budget::Options::default(),
             leave_grace_ms: 1_000,
             registry: Registry::new(),
-            plant: Plant::None,
+            plant: InjectedBug::None,
         }
     }
 }
--- a/crates/mgs-gateway/src/lib.rs
+++ b/crates/mgs-gateway/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! [`gateway::Gateway`] wires the decision crates to sockets and threads. A caller's request is
 //! read and checked by [`http`], waits in the queue (`hub`), and is then driven by its own thread
-//! (`drive`) through a [`mgs_request::life::Life`] over the sessions with sidecars (`session`).
+//! (`drive`) through a [`mgs_request::lifecycle::RequestLifecycle`] over the sessions with sidecars
+//! (`session`).
 
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
--- a/crates/mgs-gateway/src/span/mod.rs
+++ b/crates/mgs-gateway/src/span/mod.rs
@@ -128,7 +128,7 @@
 
     /// Whether nothing is held any more.
     pub(crate) fn is_over(&self) -> bool {
-        self.machine.is_over()
+        self.machine.is_done()
     }
 
     /// When it must be polled even if nothing comes, on the process's clock, in milliseconds.
@@ -171,7 +171,7 @@
     }
 
     fn tell(&mut self, event: Event) {
-        let actions = self.machine.on(event, self.common.now_ms());
+        let actions = self.machine.handle_event(event, self.common.now_ms());
         self.act(actions);
     }
 
@@ -194,7 +194,7 @@
                     self.news.push_back(News::Replan(endpoint));
                 }
                 Action::Refuse(reason) => self.news.push_back(News::Refuse(reason)),
-                Action::Over => self.counts.freed(),
+                Action::Done => self.counts.freed(),
             }
         }
     }
--- a/crates/mgs-request/src/attempt.rs
+++ b/crates/mgs-request/src/attempt.rs
@@ -2,54 +2,54 @@
 
 use mgs_schema::wire::FailureReason;
 
-/// What is known of an attempt.
+/// State of an attempt as known to the gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum State {
-    /// No endpoint is free; choose again at this time.
-    Choosing {
-        /// When, in milliseconds.
+    /// No endpoint is free; one is chosen again at `at_ms`.
+    AwaitingEndpoint {
+        /// Time of the next try, in milliseconds.
         at_ms: u64,
     },
-    /// Handed over; not yet accepted.
+    /// Sent to a sidecar, which has not yet accepted it.
     Dispatched,
-    /// The sidecar has taken it, or frames came.
+    /// Accepted by the sidecar, or known to run from its frames.
     Running,
-    /// Its sidecar was asked to take it back.
+    /// A withdraw was sent to its sidecar.
     Withdrawing,
-    /// Its sidecar was asked for the rest.
+    /// A resume was sent to its sidecar, for the rest of the response.
     Resuming,
-    /// Its sidecar couldn't be asked; ask again at this time.
-    Asking {
-        /// When, in milliseconds.
+    /// A withdraw or resume has failed; it is sent again at `at_ms`.
+    AwaitingRecovery {
+        /// Time of the next try, in milliseconds.
         at_ms: u64,
-        /// Whether to ask for the rest, or to take it back.
+        /// Whether to send a resume; otherwise a withdraw.
         resume: bool,
     },
-    /// Proven not to have run, and that it never will.
+    /// Proven not to have run and never to run.
     NotRun,
-    /// It ran and has no whole answer.
+    /// Ran without a complete response.
     Failed(FailureReason),
-    /// It may have run, and nobody can tell.
+    /// May have run, and this can't be determined.
     MayHaveRun,
 }
 
-/// One attempt.
+/// One attempt and its recovery counters.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Attempt {
-    /// What is known of it.
+    /// State of the attempt.
     pub state: State,
-    /// Whether a frame of it came, so that it surely ran.
+    /// Whether the attempt is known to have run, from a frame or a reported failure.
     pub ran: bool,
-    /// Times that its sidecar was asked in vain since it last answered.
-    pub asked: u32,
-    /// Refusals of a resume since it last moved on.
+    /// Failed withdraws and resumes since the attempt last made progress.
+    pub recovery_failures: u32,
+    /// Refused resumes since the attempt last made progress.
     pub resumes_refused: u32,
-    /// When a second attempt may be made beside it, in milliseconds.
+    /// Time from which a hedged second attempt may be made, in milliseconds.
     pub hedge_at_ms: Option<u64>,
 }
 
 impl Attempt {
-    /// An attempt that is about to be dispatched.
+    /// Creates an attempt that is about to be dispatched.
     ///
     /// ```
     /// use mgs_request::attempt::Attempt;
@@ -61,13 +61,14 @@
         Self {
             state: State::Dispatched,
             ran: false,
-            asked: 0,
+            recovery_failures: 0,
             resumes_refused: 0,
             hedge_at_ms: None,
         }
     }
 
-    /// An attempt of another gateway, whose answer is about to be asked for.
+    /// Creates an attempt that another gateway dispatched and whose response is about to be
+    /// resumed.
     pub fn resumed() -> Self {
         Self {
             state: State::Resuming,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Whether something may still come of it.
+    /// Whether the attempt may still change the outcome of the request.
     pub fn is_open(&self) -> bool {
         !matches!(
             self.state,
@@ -83,15 +84,17 @@
         )
     }
 
-    /// Whether it may have run, or may still run.
+    /// Whether the attempt may have run or may still run.
     pub fn may_run(&self) -> bool {
-        self.ran || !matches!(self.state, State::NotRun | State::Choosing { .. })
+        self.ran || !matches!(self.state, State::NotRun | State::AwaitingEndpoint { .. })
     }
 
-    /// When something is to be done about it, in milliseconds.
+    /// Time at which the attempt needs the next tick, in milliseconds.
     pub fn wake_ms(&self) -> Option<u64> {
         match self.state {
-            State::Choosing { at_ms } | State::Asking { at_ms, .. } => Some(at_ms),
+            State::AwaitingEndpoint { at_ms } | State::AwaitingRecovery { at_ms, .. } => {
+                Some(at_ms)
+            }
             State::Dispatched | State::Running => self.hedge_at_ms,
             _ => None,
         }
--- a/crates/mgs-request/src/budget.rs
+++ b/crates/mgs-request/src/budget.rs
@@ -1,71 +1,73 @@
-//! Retries as a bounded share of traffic, so that they never multiply an overload.
+//! A retry budget: retries are limited to a share of the traffic, so that they can't amplify an
+//! overload.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Thousandths of a retry, the unit of the budget's counter.
-const MILLI: u64 = 1_000;
+/// Balance units per retry: the balance is counted in thousandths of a retry.
+const MILLI_PER_RETRY: u64 = 1_000;
 
 /// Settings of a retry budget.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Thousandths of a retry that each first attempt earns.
+    /// Thousandths of a retry that each first attempt adds to the balance.
     pub earned_milli: u64,
-    /// Most retries saved up.
-    pub saved_max: u64,
-    /// Retries that may be spent before anything was earned.
-    pub saved_at_start: u64,
+    /// Maximum balance, in retries.
+    pub balance_max: u64,
+    /// Balance of a new budget, in retries.
+    pub initial_balance: u64,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
             earned_milli: 200,
-            saved_max: 50,
-            saved_at_start: 10,
+            balance_max: 50,
+            initial_balance: 10,
         }
     }
 }
 
-/// A budget shared by the requests of a process: first attempts earn, retries and hedges spend.
+/// A retry budget shared by all requests of a process. First attempts add to the balance; retries
+/// and hedges are charged to it.
 #[derive(Debug)]
-pub struct Budget {
-    saved_milli: AtomicU64,
+pub struct RetryBudget {
+    balance_milli: AtomicU64,
     options: Options,
 }
 
-impl Budget {
-    /// A budget with its savings at the start.
+impl RetryBudget {
+    /// Creates a budget with its initial balance.
     ///
     /// ```
-    /// use mgs_request::budget::Budget;
+    /// use mgs_request::budget::RetryBudget;
     /// use mgs_request::budget::Options;
     ///
-    /// let budget = Budget::new(Options { saved_at_start: 1, ..Options::default() });
-    /// assert!(budget.spend());
-    /// assert!(!budget.spend());
+    /// let budget = RetryBudget::new(Options { initial_balance: 1, ..Options::default() });
+    /// assert!(budget.try_spend());
+    /// assert!(!budget.try_spend());
     /// ```
     pub fn new(options: Options) -> Self {
         Self {
-            saved_milli: AtomicU64::new(options.saved_at_start * MILLI),
+            balance_milli: AtomicU64::new(options.initial_balance * MILLI_PER_RETRY),
             options,
         }
     }
 
-    /// Earns the share of one first attempt.
-    pub fn earn(&self) {
-        let most = self.options.saved_max * MILLI;
+    /// Adds the share of one first attempt to the balance.
+    pub fn add_first_attempt(&self) {
+        let max_milli = self.options.balance_max * MILLI_PER_RETRY;
         let earned = self.options.earned_milli;
-        let add = |saved: u64| Some((saved + earned).min(most));
+        let add = |balance: u64| Some((balance + earned).min(max_milli));
         let _ = self
-            .saved_milli
+            .balance_milli
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, add);
     }
 
-    /// Spends one retry; `false` if there is none.
-    pub fn spend(&self) -> bool {
-        let take = |saved: u64| saved.checked_sub(MILLI);
-        self.saved_milli
+    /// Takes one retry from the balance; returns `false` if the balance is too low.
+    pub fn try_spend(&self) -> bool {
+        let take = |balance: u64| balance.checked_sub(MILLI_PER_RETRY);
+        self.balance_milli
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, take)
             .is_ok()
     }
--- a/crates/mgs-request/src/event.rs
+++ b/crates/mgs-request/src/event.rs
@@ -1,4 +1,4 @@
-//! What a request's life is told, and what it wants done.
+//! Events and actions of the request state machine.
 
 use mgs_schema::wire::Finished;
 use mgs_schema::wire::RetryReason;
@@ -8,118 +8,116 @@
 use crate::outcome::End;
 use crate::outcome::Refusal;
 
-/// Number of an attempt, from 1.
+/// Number of an attempt, starting at 1.
 pub type AttemptNumber = u32;
 
-/// What happened. Attempts are named by their numbers.
+/// Input of the request state machine. Attempts are identified by their numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// The caller went away or cancelled.
+    /// The caller disconnected or cancelled the request.
     CallerGone,
-    /// The dispatch was handed to a connection; the first token is predicted in so many
-    /// milliseconds.
+    /// The dispatch was handed to a connection.
     Sent {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
         /// Predicted time to first token, in milliseconds.
         first_token_ms: u64,
     },
-    /// No endpoint can be chosen for the attempt; nothing was sent.
+    /// No endpoint could be chosen for the attempt; nothing was sent.
     NoEndpoint {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Why.
+        /// Reason of the refusal.
         refusal: Refusal,
-        /// Whether one may be free soon.
+        /// Whether an endpoint may become free soon.
         busy: bool,
     },
-    /// No connection could be had for what was to be sent (a dispatch, withdraw or resume);
-    /// nothing was sent.
+    /// No connection was available for a dispatch, withdraw or resume; nothing was sent.
     NotSent {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Memory is being gathered for the attempt at several endpoints; nothing was sent.
-    Gathering {
-        /// The attempt.
+    /// Memory for the attempt is being reserved at several endpoints; nothing was sent.
+    ReservingMemory {
+        /// Number of the attempt.
         attempt: AttemptNumber,
     },
-    /// The memory is there, and the dispatch is about to be handed to a connection.
-    Gathered {
-        /// The attempt.
+    /// The memory is reserved, and the dispatch is about to be handed to a connection.
+    MemoryReserved {
+        /// Number of the attempt.
         attempt: AttemptNumber,
     },
-    /// The sidecar took the attempt.
+    /// The sidecar accepted the attempt.
     Accepted {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
     },
-    /// The sidecar refused the call.
+    /// The sidecar refused the dispatch or resume.
     Refused {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Why.
+        /// Reason of the refusal.
         refusal: Refusal,
     },
-    /// A piece of the answer.
+    /// A frame of the response.
     Frame {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// The piece.
+        /// The received frame.
         frame: TokenFrame,
     },
-    /// The sidecar says that the attempt ended.
+    /// The sidecar reported the end of the attempt.
     Finished {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// How.
+        /// The reported end.
         finished: Finished,
     },
-    /// The connection broke or fell silent after something was sent, with no end said.
-    PathLost {
-        /// The attempt.
+    /// The connection broke or timed out after a message was sent and before an end was reported.
+    ConnectionLost {
+        /// Number of the attempt.
         attempt: AttemptNumber,
     },
-    /// The sidecar answered a withdraw.
+    /// The sidecar replied to a withdraw.
     Withdrawn {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// What it knows.
+        /// State of the attempt that the sidecar reported.
         state: WithdrawState,
     },
 }
 
-/// What is to be done.
+/// Output of the request state machine, carried out by the gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Choose an endpoint that wasn't tried yet and dispatch there.
+    /// Choose an endpoint that hasn't been tried yet and dispatch the attempt there.
     Dispatch {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Why it is made again; `None` for the first.
+        /// Reason of the retry; `None` for the first attempt.
         retry: Option<RetryReason>,
     },
-    /// Ask the attempt's sidecar to take it back, over a new connection.
+    /// Send a withdraw to the attempt's sidecar, over a new connection.
     Withdraw {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Ask the attempt's sidecar for the answer from a frame on, over a new connection.
+    /// Send a resume to the attempt's sidecar, over a new connection.
     Resume {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// First frame wanted.
+        /// Sequence number of the first requested frame.
         next_seq: u64,
     },
-    /// Tell the attempt's sidecar to end it; no answer is waited for.
+    /// Send a cancel to the attempt's sidecar, without waiting for a reply.
     Cancel {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Give a piece of the answer to the caller.
+    /// Deliver a frame of the response to the caller.
     Deliver(TokenFrame),
-    /// Tell the caller the end. It comes once, and last but for cancels.
+    /// Report the end to the caller. It occurs once, and only cancels follow it.
     Finish(End),
 }
--- a/crates/mgs-request/src/lib.rs
+++ b/crates/mgs-request/src/lib.rs
@@ -1,16 +1,17 @@
-//! The life of one request: attempts, deadline, retries, resume and its one outcome.
+//! The state machine of one request: attempts, deadline, retries, resume and outcome.
 //!
-//! A [`life::Life`] is told what happened and answers with what is to be done. It reads no clock,
-//! opens no socket and starts no thread; the gateway drives it, and so do tests that go through
-//! every order of a few events.
+//! A [`lifecycle::RequestLifecycle`] takes events and returns actions. It reads no clock, opens no
+//! socket and starts no thread. The gateway drives it; the tests drive it through every order of a
+//! few events.
 //!
-//! The rules:
+//! Invariants:
 //!
 //! - A request has exactly one outcome: answered, refused, failed or unknown.
-//! - *Refused* is said only when no attempt can have run.
-//! - A request that isn't idempotent is attempted elsewhere only after a proof that the attempt
-//!   before it didn't run and never will.
-//! - Once a piece of the answer has gone to the caller, only the same attempt may go on with it.
+//! - The outcome is *refused* only if no attempt can have run.
+//! - A request that isn't idempotent is retried at another endpoint only after proof that the
+//!   previous attempt didn't run and never will.
+//! - Once a frame of the response has been delivered to the caller, only the attempt that sent it
+//!   may continue the response.
 //! - Each request ends by its deadline.
 
 #![deny(missing_docs)]
@@ -18,9 +19,9 @@
 
 pub mod attempt;
 pub mod budget;
-pub mod delivery;
 pub mod event;
-pub mod life;
+pub mod injected_bug;
+pub mod lifecycle;
 pub mod outcome;
-pub mod plant;
+pub mod reorder;
 pub mod span;
--- a/crates/mgs-request/src/life/settle.rs
+++ b/crates/mgs-request/src/lifecycle/settle.rs
@@ -1,53 +1,58 @@
-//! Attempts made again, and the one outcome.
+//! Retries and the outcome.
 
 use mgs_schema::wire::FailureReason;
 use mgs_schema::wire::RefusalReason;
 use mgs_schema::wire::RetryReason;
 
-use super::Life;
-use super::Step;
+use super::RequestLifecycle;
+use super::Transition;
 use crate::attempt::Attempt;
 use crate::attempt::State;
 use crate::event::Action;
 use crate::event::AttemptNumber;
+use crate::injected_bug::InjectedBug;
 use crate::outcome::End;
 use crate::outcome::Refusal;
-use crate::plant::Plant;
 
-impl Life {
-    /// Attempts the request again where that is allowed, and settles it where it isn't.
-    pub(super) fn retry(&mut self, step: &mut Step<'_>, reason: RetryReason) {
+impl RequestLifecycle {
+    /// Makes another attempt if that is allowed, and otherwise settles the request.
+    pub(super) fn retry_or_settle(&mut self, transition: &mut Transition<'_>, reason: RetryReason) {
         let open = self.attempts.iter().any(Attempt::is_open);
-        if open || !self.again(step, reason) {
-            self.settle(step);
+        if open || !self.try_new_attempt(transition, reason) {
+            self.settle(transition);
         }
     }
 
     pub(super) fn may_run_twice(&self) -> bool {
-        self.options.idempotent || self.options.plant == Plant::RetryAfterUnknown
+        self.options.idempotent || self.options.injected_bug == InjectedBug::RetryAfterUnknown
     }
 
-    /// Makes one more attempt if the rules, the count and the budget allow it.
-    pub(super) fn again(&mut self, step: &mut Step<'_>, reason: RetryReason) -> bool {
+    /// Makes another attempt if idempotency, the attempt limit, the deadline and the retry budget
+    /// allow it; returns whether it did.
+    pub(super) fn try_new_attempt(
+        &mut self,
+        transition: &mut Transition<'_>,
+        reason: RetryReason,
+    ) -> bool {
         let may_have_run = self.attempts.iter().any(Attempt::may_run);
         let forbidden = self.winner.is_some() || (may_have_run && !self.may_run_twice());
         if forbidden
             || self.attempts.len() >= self.options.attempts_max
-            || step.now_ms >= self.options.deadline_ms
-            || !step.budget.spend()
+            || transition.now_ms >= self.options.deadline_ms
+            || !transition.budget.try_spend()
         {
             return false;
         }
         self.attempts.push(Attempt::new());
-        step.act(Action::Dispatch {
+        transition.push_action(Action::Dispatch {
             attempt: self.attempts.len() as AttemptNumber,
             retry: Some(reason),
         });
         true
     }
 
-    /// Ends the request when nothing more can come of any attempt.
-    pub(super) fn settle(&mut self, step: &mut Step<'_>) {
+    /// Ends the request if no open attempt can still provide its response.
+    pub(super) fn settle(&mut self, transition: &mut Transition<'_>) {
         let winner_open = self
             .winner
             .is_some_and(|winner| self.open_state(winner).is_some());
@@ -55,12 +60,12 @@
         if winner_open || (self.winner.is_none() && open) {
             return;
         }
-        let failure = self.failure().unwrap_or(FailureReason::Path);
-        self.give_up(step, failure, RefusalReason::NoEndpoint);
+        let failure = self.last_failure().unwrap_or(FailureReason::Path);
+        self.end_without_response(transition, failure, RefusalReason::NoEndpoint);
     }
 
-    /// The reason of the last attempt that is known to have failed.
-    pub(super) fn failure(&self) -> Option<FailureReason> {
+    /// The reason of the last failed attempt.
+    pub(super) fn last_failure(&self) -> Option<FailureReason> {
         let failure = |attempt: &Attempt| match attempt.state {
             State::Failed(reason) => Some(reason),
             _ => None,
@@ -68,10 +73,11 @@
         self.attempts.iter().rev().find_map(failure)
     }
 
-    /// Ends the request now, with what is known of its attempts.
-    pub(super) fn give_up(
+    /// Ends the request without a complete response; the outcome follows from the state of its
+    /// attempts.
+    pub(super) fn end_without_response(
         &mut self,
-        step: &mut Step<'_>,
+        transition: &mut Transition<'_>,
         failure: FailureReason,
         refusal: RefusalReason,
     ) {
@@ -85,18 +91,18 @@
             let known = self.refusal.take();
             End::Refused(known.unwrap_or_else(|| Refusal::new(refusal, "")))
         };
-        self.finish(step, end);
+        self.finish(transition, end);
     }
 
-    pub(super) fn finish(&mut self, step: &mut Step<'_>, end: End) {
+    pub(super) fn finish(&mut self, transition: &mut Transition<'_>, end: End) {
         self.ended = true;
         let answered = matches!(end, End::Answered(_));
-        step.act(Action::Finish(end));
+        transition.push_action(Action::Finish(end));
         for number in 1..=self.attempts.len() as AttemptNumber {
             let done = answered && self.winner == Some(number);
             let attempt = &self.attempts[number as usize - 1];
             if attempt.is_open() && attempt.may_run() && !done {
-                step.act(Action::Cancel { attempt: number });
+                transition.push_action(Action::Cancel { attempt: number });
             }
         }
     }
--- a/crates/mgs-request/src/outcome.rs
+++ b/crates/mgs-request/src/outcome.rs
@@ -1,23 +1,23 @@
-//! The one outcome of a request.
+//! The outcome of a request.
 
 use mgs_schema::wire::FailureReason;
 use mgs_schema::wire::Finished;
 use mgs_schema::wire::Outcome;
 use mgs_schema::wire::RefusalReason;
 
-/// A refusal: the request truly did not run.
+/// A refusal, which guarantees that the request did not run.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When to come back, in milliseconds; 0 if unknown.
+    /// Time after which to retry, in milliseconds; 0 if unknown.
     pub retry_after_ms: u64,
-    /// A sentence for people; may be empty.
+    /// Human-readable description; may be empty.
     pub detail: String,
 }
 
 impl Refusal {
-    /// A refusal without a time to come back.
+    /// Creates a refusal without a retry time.
     ///
     /// ```
     /// use mgs_request::outcome::Refusal;
@@ -37,18 +37,19 @@
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum End {
-    /// The whole answer was delivered.
+    /// The complete response was delivered.
     Answered(Finished),
-    /// Truly not run.
+    /// The request did not run.
     Refused(Refusal),
-    /// Ran or partly ran, with no whole answer.
+    /// The request ran, at least in part, without a complete response; holds the reason and a
+    /// description.
     Failed(FailureReason, String),
-    /// May have run.
+    /// The request may have run; holds the reason and a description.
     Unknown(FailureReason, String),
 }
 
 impl End {
-    /// The outcome as the schema names it.
+    /// The corresponding outcome of the wire schema.
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::Answered(_) => Outcome::Answered,
--- a/crates/mgs-request/src/span.rs
+++ b/crates/mgs-request/src/span.rs
@@ -1,39 +1,42 @@
-//! A prompt that exceeds one engine's memory: reservations at several endpoints, all or nothing.
+//! Spans: all-or-nothing reservations at several endpoints, for a prompt that exceeds the memory of
+//! one engine.
 //!
-//! Parts of the prompt go to endpoints that declare spans. Each part but the last is processed at
-//! its endpoint and its KV exported; the last one's endpoint, the home, imports them and answers.
-//! Before anything is processed, each endpoint reserves the memory of its part.
+//! The parts of the prompt are assigned to endpoints that declare spans. Each part but the last is
+//! processed at its endpoint and its KV cache is exported. The endpoint of the last part, the home,
+//! imports them and generates the response. Before any processing, each endpoint reserves the
+//! memory of its part.
 //!
-//! - Reservations are taken one after another in the order of the plan, which is the same at each
-//!   gateway, so that spans can't wait for each other in a circle.
-//! - A span that finds an endpoint taken keeps what it holds and asks again a limited number of
-//!   times; then it frees everything, rests and begins anew. The number grows with each round, so
-//!   that the span that has tried longest holds on longest, and none starves.
-//! - Whatever may be held is released on each way out, again until the release is confirmed or the
-//!   reservation has ended by itself, as each one does at the request's deadline.
+//! - Reservations are made one after another in the order of the plan, which is the same at each
+//!   gateway, so that spans can't deadlock.
+//! - A span that finds an endpoint busy keeps its reservations and retries a limited number of
+//!   times; then it releases all of them, backs off and starts a new round. The limit grows with
+//!   each round, so that the span that has tried longest keeps its reservations longest and none
+//!   starves.
+//! - On each exit, every reservation that may be held is released. A release is repeated until it
+//!   is confirmed or the reservation has expired, which happens at the request's deadline.
 //!
-//! The machine keeps no clock and sends nothing; the gateway drives it.
+//! The state machine reads no clock and sends nothing; the gateway drives it.
 
 use mgs_schema::wire::RefusalReason;
 
-/// Place of a part in the plan.
+/// Index of a part in the plan.
 pub type PartNumber = usize;
 
 /// Settings of one span.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// Count of parts, 1 or more; the last one is the home's.
+    /// Number of parts, at least 1; the last one belongs to the home.
     pub parts: usize,
-    /// When the request's allotted time ends, on the process's monotonic clock, in milliseconds.
+    /// Deadline of the request on the process's monotonic clock, in milliseconds.
     pub deadline_ms: u64,
-    /// Pause before an endpoint that is taken, or couldn't be asked, is asked again.
-    pub again_ms: u64,
-    /// How often the first round asks an endpoint that is taken, while it keeps what it holds.
-    pub asks: u32,
-    /// How often any round asks, at most; each round asks twice as often as the one before.
-    pub asks_max: u32,
-    /// Pause between two rounds, with nothing held.
-    pub rest_ms: u64,
+    /// Delay before a reservation at a busy or unreachable endpoint is retried, in milliseconds.
+    pub retry_ms: u64,
+    /// Number of refused reservations after which the first round releases everything.
+    pub tries: u32,
+    /// Maximum of `tries`, which doubles with each round.
+    pub tries_max: u32,
+    /// Delay between two rounds, in milliseconds, without reservations.
+    pub backoff_ms: u64,
 }
 
 impl Default for Options {
@@ -41,85 +44,87 @@
         Self {
             parts: 1,
             deadline_ms: 0,
-            again_ms: 200,
-            asks: 10,
-            asks_max: 160,
-            rest_ms: 500,
+            retry_ms: 200,
+            tries: 10,
+            tries_max: 160,
+            backoff_ms: 500,
         }
     }
 }
 
-/// What happened.
+/// Input of the span state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The endpoint answered a reservation.
+    /// The endpoint replied to a reservation.
     Reserved {
-        /// The part.
+        /// Index of the part.
         part: PartNumber,
-        /// Whether the memory is held.
+        /// Whether the memory is reserved.
         done: bool,
     },
-    /// A reservation wasn't answered in time, or its path broke; it may be held.
+    /// A reservation timed out or its connection broke; the memory may be reserved.
     ReserveLost {
-        /// The part.
+        /// Index of the part.
         part: PartNumber,
     },
-    /// The endpoint answered an export.
+    /// The endpoint replied to an export.
     Exported {
-        /// The part.
+        /// Index of the part.
         part: PartNumber,
-        /// Whether its KV is exported.
+        /// Whether the KV cache of the part was exported.
         done: bool,
     },
     /// The home refused the request, which didn't run.
     HomeRefused,
-    /// The home sent its first token: it has imported the parts.
+    /// The home sent the first token, so it has imported the parts.
     HomeStarted,
     /// The request ended at the home.
     HomeEnded,
     /// The endpoint confirmed a release.
     Released {
-        /// The part.
+        /// Index of the part.
         part: PartNumber,
     },
-    /// A release wasn't answered.
+    /// A release got no reply.
     ReleaseLost {
-        /// The part.
+        /// Index of the part.
         part: PartNumber,
     },
-    /// The time of an [`Action::WakeAfter`] has come.
+    /// The delay of an [`Action::WakeAfter`] has passed.
     Wake,
-    /// The caller went away before the request was dispatched.
+    /// The caller disconnected before the request was dispatched.
     Cancelled,
 }
 
-/// What to do.
+/// Output of the span state machine, carried out by the gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Reserve the part's memory, until the deadline.
+    /// Reserve the memory of the part until the deadline.
     Reserve(PartNumber),
-    /// Have the part processed and its KV exported.
+    /// Have the part processed and its KV cache exported.
     Export(PartNumber),
-    /// Dispatch the request to the home with the exported parts. It is the gateway's from here on.
+    /// Dispatch the request to the home with the exported parts. From then on the gateway decides
+    /// how the request ends.
     Dispatch,
-    /// Release the part's memory and KV.
+    /// Release the memory and the KV cache of the part.
     Release(PartNumber),
-    /// Come back after this time, in milliseconds, or at the deadline if that is sooner.
+    /// Send [`Event::Wake`] after this delay, in milliseconds, or at the deadline if that is
+    /// sooner.
     WakeAfter(u64),
-    /// The request didn't run; a new plan may avoid this part's endpoint.
+    /// Make a new plan, which may avoid the endpoint of this part; the request didn't run.
     Replan(PartNumber),
-    /// The request didn't run and is to be refused.
+    /// Refuse the request, which didn't run.
     Refuse(RefusalReason),
-    /// Nothing is held any more.
-    Over,
+    /// All reservations are released; no further actions follow.
+    Done,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Part {
     Free,
-    /// Asked for.
-    Asked,
-    Held,
+    /// The reservation was sent and not yet answered.
+    Requested,
+    Reserved,
     Exporting,
     Exported,
     Releasing,
@@ -127,17 +132,17 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Takes reservations; waits for this part's.
+    /// Makes reservations; the one of this part is pending.
     Reserving(PartNumber),
-    /// Waits to ask for this part again.
-    Waiting(PartNumber),
-    /// Holds nothing, or frees the last round's, and waits to begin anew.
-    Resting,
+    /// Waits to retry the reservation of this part.
+    WaitingToRetry(PartNumber),
+    /// Waits for the releases of the last round and for the end of the backoff.
+    BackingOff,
     Exporting,
     Dispatched,
-    /// Only releases are left.
-    Leaving,
-    Over,
+    /// Only releases are pending.
+    Releasing,
+    Done,
 }
 
 /// The reservations of one request.
@@ -146,16 +151,16 @@
     options: Options,
     parts: Vec<Part>,
     phase: Phase,
-    /// Asks of one round.
-    asks: u32,
-    /// Asks left in this round.
-    asks_left: u32,
-    /// Whether the pause before the next round is over.
-    rested: bool,
+    /// Tries of the next round.
+    tries: u32,
+    /// Tries left in this round.
+    tries_left: u32,
+    /// Whether the backoff before the next round has passed.
+    backoff_elapsed: bool,
 }
 
 impl Span {
-    /// A span that holds nothing, and what to do first.
+    /// Creates a span without reservations and returns its first actions.
     ///
     /// ```
     /// use mgs_request::span::Action;
@@ -166,24 +171,24 @@
     /// let options = Options { parts: 2, deadline_ms: 60_000, ..Options::default() };
     /// let (mut span, first) = Span::start(options);
     /// assert_eq!(first, vec![Action::Reserve(0)]);
-    /// let next = span.on(Event::Reserved { part: 0, done: true }, 1);
+    /// let next = span.handle_event(Event::Reserved { part: 0, done: true }, 1);
     /// assert_eq!(next, vec![Action::Reserve(1)]);
     /// ```
     pub fn start(options: Options) -> (Self, Vec<Action>) {
         let mut span = Self {
             parts: vec![Part::Free; options.parts],
-            phase: Phase::Resting,
-            asks: options.asks,
-            asks_left: 0,
-            rested: true,
+            phase: Phase::BackingOff,
+            tries: options.tries,
+            tries_left: 0,
+            backoff_elapsed: true,
             options,
         };
-        let actions = span.begin();
+        let actions = span.begin_round();
         (span, actions)
     }
 
-    /// Takes in an event.
-    pub fn on(&mut self, event: Event, now_ms: u64) -> Vec<Action> {
+    /// Applies an event and returns the resulting actions in order.
+    pub fn handle_event(&mut self, event: Event, now_ms: u64) -> Vec<Action> {
         match event {
             Event::Reserved { part, done } => self.reserved(part, done),
             Event::ReserveLost { part } => self.reserve_lost(part),
@@ -198,81 +203,82 @@
         }
     }
 
-    /// Whether nothing is held and nothing more will be.
-    pub fn is_over(&self) -> bool {
-        self.phase == Phase::Over
+    /// Whether all reservations are released and no further one will be made.
+    pub fn is_done(&self) -> bool {
+        self.phase == Phase::Done
     }
 
     fn home(&self) -> PartNumber {
         self.options.parts - 1
     }
 
-    /// Starts a round, once the pause is over and the last one's reservations are free.
-    fn begin(&mut self) -> Vec<Action> {
+    /// Starts a round once the backoff has passed and the reservations of the last round are
+    /// released.
+    fn begin_round(&mut self) -> Vec<Action> {
         let free = self.parts.iter().all(|part| *part == Part::Free);
-        if !free || !self.rested {
+        if !free || !self.backoff_elapsed {
             return Vec::new();
         }
-        self.asks_left = self.asks;
-        self.asks = (self.asks * 2).min(self.options.asks_max);
+        self.tries_left = self.tries;
+        self.tries = (self.tries * 2).min(self.options.tries_max);
         self.reserve(0)
     }
 
     fn reserve(&mut self, part: PartNumber) -> Vec<Action> {
         self.phase = Phase::Reserving(part);
-        self.parts[part] = Part::Asked;
+        self.parts[part] = Part::Requested;
         vec![Action::Reserve(part)]
     }
 
     fn reserved(&mut self, part: PartNumber, done: bool) -> Vec<Action> {
-        if self.parts[part] != Part::Asked {
+        if self.parts[part] != Part::Requested {
             return Vec::new();
         }
         if self.phase != Phase::Reserving(part) {
-            return self.answered_late(part, done);
+            return self.reservation_resolved_late(part, done);
         }
         if !done {
             self.parts[part] = Part::Free;
-            return self.taken(part);
+            return self.endpoint_busy(part);
         }
-        self.parts[part] = Part::Held;
+        self.parts[part] = Part::Reserved;
         if part < self.home() {
             return self.reserve(part + 1);
         }
         self.export()
     }
 
-    /// An endpoint is taken by others.
-    fn taken(&mut self, part: PartNumber) -> Vec<Action> {
-        self.asks_left = self.asks_left.saturating_sub(1);
-        if self.asks_left > 0 {
-            self.phase = Phase::Waiting(part);
-            return vec![Action::WakeAfter(self.options.again_ms)];
+    /// Handles a refused reservation: retries it later, or releases everything and backs off.
+    fn endpoint_busy(&mut self, part: PartNumber) -> Vec<Action> {
+        self.tries_left = self.tries_left.saturating_sub(1);
+        if self.tries_left > 0 {
+            self.phase = Phase::WaitingToRetry(part);
+            return vec![Action::WakeAfter(self.options.retry_ms)];
         }
-        self.phase = Phase::Resting;
-        self.rested = false;
+        self.phase = Phase::BackingOff;
+        self.backoff_elapsed = false;
         let mut actions = self.release_all();
-        actions.push(Action::WakeAfter(self.options.rest_ms));
+        actions.push(Action::WakeAfter(self.options.backoff_ms));
         actions
     }
 
     fn reserve_lost(&mut self, part: PartNumber) -> Vec<Action> {
-        if self.parts[part] != Part::Asked {
+        if self.parts[part] != Part::Requested {
             return Vec::new();
         }
         if self.phase != Phase::Reserving(part) {
-            return self.answered_late(part, true);
+            return self.reservation_resolved_late(part, true);
         }
-        self.parts[part] = Part::Held;
-        self.leave(Action::Replan(part))
+        self.parts[part] = Part::Reserved;
+        self.abort(Action::Replan(part))
     }
 
-    /// The span is on its way out. A reservation is released only after its answer, or its loss:
-    /// a release that overtakes it would leave it held.
-    fn answered_late(&mut self, part: PartNumber, held: bool) -> Vec<Action> {
-        self.parts[part] = if held { Part::Held } else { Part::Free };
+    /// Handles the reply to a reservation that is no longer needed. It is released only after its
+    /// reply or loss, since a release that overtakes the reservation would leave it in place.
+    fn reservation_resolved_late(&mut self, part: PartNumber, held: bool) -> Vec<Action> {
+        self.parts[part] = if held { Part::Reserved } else { Part::Free };
         let mut actions: Vec<Action> = self.release(part).into_iter().collect();
-        actions.extend(self.end_if_free());
+        actions.extend(self.finish_if_free());
         actions
     }
 
@@ -293,7 +299,7 @@
             return Vec::new();
         }
         if !done {
-            return self.leave(Action::Replan(part));
+            return self.abort(Action::Replan(part));
         }
         self.parts[part] = Part::Exported;
         if self.parts.contains(&Part::Exporting) {
@@ -311,10 +317,10 @@
         if self.phase != Phase::Dispatched {
             return Vec::new();
         }
-        self.leave(Action::Replan(self.home()))
+        self.abort(Action::Replan(self.home()))
     }
 
-    /// The exported parts are at the home now; their endpoints are free for others.
+    /// Releases the exported parts, since the home has imported them.
     fn home_started(&mut self) -> Vec<Action> {
         if self.phase != Phase::Dispatched {
             return Vec::new();
@@ -328,25 +334,25 @@
         if self.phase != Phase::Dispatched {
             return Vec::new();
         }
-        self.phase = Phase::Leaving;
+        self.phase = Phase::Releasing;
         let mut actions = self.release_all();
-        actions.extend(self.end_if_free());
+        actions.extend(self.finish_if_free());
         actions
     }
 
-    /// Gives up before the request ran.
-    fn leave(&mut self, why: Action) -> Vec<Action> {
-        self.phase = Phase::Leaving;
-        let mut actions = vec![why];
+    /// Ends the span before the request ran.
+    fn abort(&mut self, reason: Action) -> Vec<Action> {
+        self.phase = Phase::Releasing;
+        let mut actions = vec![reason];
         actions.extend(self.release_all());
-        actions.extend(self.end_if_free());
+        actions.extend(self.finish_if_free());
         actions
     }
 
     fn cancelled(&mut self) -> Vec<Action> {
         match self.phase {
-            Phase::Dispatched | Phase::Leaving | Phase::Over => Vec::new(),
-            _ => self.leave(Action::Refuse(RefusalReason::Cancelled)),
+            Phase::Dispatched | Phase::Releasing | Phase::Done => Vec::new(),
+            _ => self.abort(Action::Refuse(RefusalReason::Cancelled)),
         }
     }
 
@@ -357,7 +363,7 @@
 
     fn release(&mut self, part: PartNumber) -> Option<Action> {
         match self.parts[part] {
-            Part::Free | Part::Asked | Part::Releasing => None,
+            Part::Free | Part::Requested | Part::Releasing => None,
             _ => {
                 self.parts[part] = Part::Releasing;
                 Some(Action::Release(part))
@@ -371,12 +377,12 @@
         }
         self.parts[part] = Part::Free;
         match self.phase {
-            Phase::Resting => self.begin(),
-            _ => self.end_if_free().into_iter().collect(),
+            Phase::BackingOff => self.begin_round(),
+            _ => self.finish_if_free().into_iter().collect(),
         }
     }
 
-    /// Past the deadline, the endpoint has ended the reservation by itself.
+    /// Repeats a release. Past the deadline the reservation has expired at the endpoint.
     fn release_lost(&mut self, part: PartNumber, now_ms: u64) -> Vec<Action> {
         if self.parts[part] != Part::Releasing {
             return Vec::new();
@@ -387,24 +393,24 @@
         vec![Action::Release(part)]
     }
 
-    fn end_if_free(&mut self) -> Option<Action> {
+    fn finish_if_free(&mut self) -> Option<Action> {
         let free = self.parts.iter().all(|part| *part == Part::Free);
-        if self.phase != Phase::Leaving || !free {
+        if self.phase != Phase::Releasing || !free {
             return None;
         }
-        self.phase = Phase::Over;
-        Some(Action::Over)
+        self.phase = Phase::Done;
+        Some(Action::Done)
     }
 
     fn wake(&mut self, now_ms: u64) -> Vec<Action> {
-        let late = now_ms >= self.options.deadline_ms;
+        let deadline_passed = now_ms >= self.options.deadline_ms;
         match self.phase {
-            Phase::Dispatched | Phase::Leaving | Phase::Over => Vec::new(),
-            _ if late => self.leave(Action::Refuse(RefusalReason::Deadline)),
-            Phase::Waiting(part) => self.reserve(part),
-            Phase::Resting => {
-                self.rested = true;
-                self.begin()
+            Phase::Dispatched | Phase::Releasing | Phase::Done => Vec::new(),
+            _ if deadline_passed => self.abort(Action::Refuse(RefusalReason::Deadline)),
+            Phase::WaitingToRetry(part) => self.reserve(part),
+            Phase::BackingOff => {
+                self.backoff_elapsed = true;
+                self.begin_round()
             }
             Phase::Reserving(_) | Phase::Exporting => Vec::new(),
         }
--- a/crates/mgs-request/tests/model/mod.rs
+++ b/crates/mgs-request/tests/model/mod.rs
@@ -1,16 +1,16 @@
-//! A small world around one request: its sidecars, the network, and a clock of a few ticks.
+//! A model of one request with its sidecars, the network and a clock of a few ticks.
 //!
-//! Each attempt has a sidecar of its own. Messages arrive in any order; a path may break at any
-//! moment, and what was sent on it may still arrive later; sidecars may be started again.
+//! Each attempt has its own sidecar. Messages arrive in any order. A connection may break at any
+//! time, and messages sent on it may still arrive later. Sidecars may restart.
 
 use std::collections::HashSet;
 
-use mgs_request::budget::Budget;
+use mgs_request::budget::RetryBudget;
 use mgs_request::event::Action;
 use mgs_request::event::AttemptNumber;
 use mgs_request::event::Event;
-use mgs_request::life::Life;
-use mgs_request::life::Options;
+use mgs_request::lifecycle::Options;
+use mgs_request::lifecycle::RequestLifecycle;
 use mgs_request::outcome::End;
 use mgs_request::outcome::Refusal;
 use mgs_schema::wire::FailureReason;
@@ -20,44 +20,44 @@
 use mgs_schema::wire::TokenFrame;
 use mgs_schema::wire::WithdrawState;
 
-/// Frames of a whole answer.
+/// Number of frames of a complete response.
 pub(crate) const FRAMES: u64 = 2;
 
-/// The last tick; the deadline of the request.
+/// Time of the last tick, which is the deadline of the request.
 pub(crate) const DEADLINE_MS: u64 = 3;
 
-/// How much may go wrong in one history.
+/// Number of faults of each kind in one history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct Faults {
-    pub(crate) lost_paths: u8,
+    pub(crate) lost_connections: u8,
     pub(crate) crashes: u8,
     pub(crate) not_sent: u8,
-    pub(crate) doubled_frames: u8,
+    pub(crate) duplicate_frames: u8,
     pub(crate) engine_failures: u8,
     pub(crate) refusals: u8,
     pub(crate) caller_gone: u8,
-    /// Attempts that gather memory at several endpoints first.
+    /// Attempts that first reserve memory at several endpoints.
     pub(crate) spans: u8,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Ask {
+enum Message {
     Dispatch { incarnation: u8 },
     Withdraw { incarnation: u8 },
     Resume { next_seq: u64 },
 }
 
-/// A message to an attempt's sidecar.
+/// A message on its way to the sidecar of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Sent {
+struct PendingMessage {
     attempt: usize,
     call: u8,
-    ask: Ask,
+    message: Message,
 }
 
-/// What a sidecar does with the request.
+/// State of the request at a sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Work {
+enum SidecarState {
     Unknown,
     Tombstone,
     Queued,
@@ -69,40 +69,40 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Sidecar {
     incarnation: u8,
-    work: Work,
-    /// Whether the request ever ran here, whatever the sidecar remembers.
+    state: SidecarState,
+    /// Whether the request ever ran here, also before a restart of the sidecar.
     ran: bool,
-    /// Whether it was told to end the request.
+    /// Whether a cancel was received.
     cancelled: bool,
-    /// The call that reads the answer.
+    /// The call that reads the response.
     reader: Option<u8>,
-    /// The gateway's present call; replies to others are dropped.
+    /// The current call of the gateway; replies to other calls are dropped.
     call: u8,
-    /// Incarnation that the dispatch was meant for.
-    meant_for: u8,
-    /// Replies under way to the present call, in any order.
+    /// Incarnation of the sidecar at the time of the dispatch.
+    dispatch_incarnation: u8,
+    /// Replies in flight to the current call, delivered in any order.
     replies: Vec<Event>,
-    /// Whether memory for the attempt is being gathered.
-    gathering: bool,
+    /// Whether memory for the attempt is being reserved.
+    reserving_memory: bool,
 }
 
-/// One state of the world.
+/// One state of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct World {
-    life: Life,
+pub(crate) struct Model {
+    lifecycle: RequestLifecycle,
     now_ms: u64,
     sidecars: Vec<Sidecar>,
-    sent: Vec<Sent>,
+    sent: Vec<PendingMessage>,
     faults: Faults,
     delivered: Vec<TokenFrame>,
     end: Option<End>,
     idempotent: bool,
 }
 
-/// A rule that was broken.
+/// A violated invariant.
 pub(crate) type Violation = &'static str;
 
-type Next = Result<World, Violation>;
+type Next = Result<Model, Violation>;
 
 fn frame(attempt: usize, seq: u64) -> Event {
     Event::Frame {
@@ -138,12 +138,12 @@
     }
 }
 
-impl World {
-    pub(crate) fn begin(options: Options, faults: Faults, budget: &Budget) -> Vec<World> {
+impl Model {
+    pub(crate) fn begin(options: Options, faults: Faults, budget: &RetryBudget) -> Vec<Model> {
         let idempotent = options.idempotent;
-        let (life, actions) = Life::begin(options);
-        let world = World {
-            life,
+        let (lifecycle, actions) = RequestLifecycle::begin(options);
+        let model = Model {
+            lifecycle,
             now_ms: 0,
             sidecars: Vec::new(),
             sent: Vec::new(),
@@ -152,53 +152,53 @@
             end: None,
             idempotent,
         };
-        let started = world.act(actions, budget);
+        let started = model.perform_all(actions, budget);
         started.into_iter().map(|next| next.unwrap()).collect()
     }
 
-    /// Tells the life an event and carries out its actions, in each way that they can go.
-    fn tell(mut self, event: Event, budget: &Budget) -> Vec<Next> {
-        let actions = self.life.on(self.now_ms, event, budget);
-        self.act(actions, budget)
+    /// Delivers an event to the request and performs its actions with each possible result.
+    fn deliver_event(mut self, event: Event, budget: &RetryBudget) -> Vec<Next> {
+        let actions = self.lifecycle.handle_event(self.now_ms, event, budget);
+        self.perform_all(actions, budget)
     }
 
-    fn act(self, actions: Vec<Action>, budget: &Budget) -> Vec<Next> {
-        let mut worlds = vec![(self, Vec::new())];
+    fn perform_all(self, actions: Vec<Action>, budget: &RetryBudget) -> Vec<Next> {
+        let mut models = vec![(self, Vec::new())];
         for action in &actions {
             let mut after = Vec::new();
-            for (world, events) in worlds {
-                match world.carry_out(action, events) {
+            for (model, events) in models {
+                match model.perform(action, events) {
                     Ok(more) => after.extend(more),
                     Err(violation) => return vec![Err(violation)],
                 }
             }
-            worlds = after;
+            models = after;
         }
-        let mut nexts = Vec::new();
-        for (world, events) in worlds {
-            nexts.extend(world.tell_all(events, budget));
+        let mut successors = Vec::new();
+        for (model, events) in models {
+            successors.extend(model.deliver_events(events, budget));
         }
-        nexts
+        successors
     }
 
-    fn tell_all(self, events: Vec<Event>, budget: &Budget) -> Vec<Next> {
-        let mut worlds = vec![Ok(self)];
+    fn deliver_events(self, events: Vec<Event>, budget: &RetryBudget) -> Vec<Next> {
+        let mut models = vec![Ok(self)];
         for event in events {
-            let tell = |next: Next| match next {
-                Ok(world) => world.tell(event.clone(), budget),
+            let deliver_event = |next: Next| match next {
+                Ok(model) => model.deliver_event(event.clone(), budget),
                 Err(violation) => vec![Err(violation)],
             };
-            worlds = worlds.into_iter().flat_map(tell).collect();
+            models = models.into_iter().flat_map(deliver_event).collect();
         }
-        worlds
+        models
     }
 
-    /// Carries out one action; gives the worlds that may follow, with what the life is told next.
-    fn carry_out(
+    /// Performs one action; returns the possible models with the events to deliver next.
+    fn perform(
         mut self,
         action: &Action,
         mut events: Vec<Event>,
-    ) -> Result<Vec<(World, Vec<Event>)>, Violation> {
+    ) -> Result<Vec<(Model, Vec<Event>)>, Violation> {
         if self.end.is_some() && !matches!(action, Action::Cancel { .. }) {
             return Err("acted after its end");
         }
@@ -213,60 +213,60 @@
                 if self.sidecars.len() == index {
                     self.sidecars.push(Sidecar {
                         incarnation: 0,
-                        work: Work::Unknown,
+                        state: SidecarState::Unknown,
                         ran: false,
                         cancelled: false,
                         reader: None,
                         call: 0,
-                        meant_for: 0,
+                        dispatch_incarnation: 0,
                         replies: Vec::new(),
-                        gathering: false,
+                        reserving_memory: false,
                     });
                 }
-                let mut ways = self.gather(index, &events);
+                let mut variants = self.reserve_memory(index, &events);
                 let incarnation = self.sidecars[index].incarnation;
-                self.sidecars[index].meant_for = incarnation;
-                ways.extend(self.send(index, Ask::Dispatch { incarnation }, events));
-                return Ok(ways);
+                self.sidecars[index].dispatch_incarnation = incarnation;
+                variants.extend(self.send(index, Message::Dispatch { incarnation }, events));
+                return Ok(variants);
             }
             Action::Withdraw { attempt } => {
                 let index = *attempt as usize - 1;
-                let incarnation = self.sidecars[index].meant_for;
-                return Ok(self.send(index, Ask::Withdraw { incarnation }, events));
+                let incarnation = self.sidecars[index].dispatch_incarnation;
+                return Ok(self.send(index, Message::Withdraw { incarnation }, events));
             }
             Action::Resume { attempt, next_seq } => {
                 let index = *attempt as usize - 1;
                 let next_seq = *next_seq;
-                return Ok(self.send(index, Ask::Resume { next_seq }, events));
+                return Ok(self.send(index, Message::Resume { next_seq }, events));
             }
         }
         events.shrink_to_fit();
         Ok(vec![(self, events)])
     }
 
-    /// The attempt's prompt exceeds one engine's memory: nothing is sent yet.
-    fn gather(&self, attempt: usize, events: &[Event]) -> Vec<(World, Vec<Event>)> {
+    /// Starts a reservation at several endpoints, for a prompt that exceeds one engine's memory.
+    fn reserve_memory(&self, attempt: usize, events: &[Event]) -> Vec<(Model, Vec<Event>)> {
         if self.faults.spans == 0 {
             return Vec::new();
         }
-        let mut world = self.clone();
-        world.faults.spans -= 1;
-        world.sidecars[attempt].gathering = true;
+        let mut model = self.clone();
+        model.faults.spans -= 1;
+        model.sidecars[attempt].reserving_memory = true;
         let number = attempt as AttemptNumber + 1;
         let mut events = events.to_vec();
-        events.push(Event::Gathering { attempt: number });
-        vec![(world, events)]
+        events.push(Event::ReservingMemory { attempt: number });
+        vec![(model, events)]
     }
 
-    /// The memory is there, or can't be had.
-    fn gathered(&self, attempt: usize, budget: &Budget) -> Vec<Next> {
+    /// Ends the reservation, with or without success.
+    fn finish_reservation(&self, attempt: usize, budget: &RetryBudget) -> Vec<Next> {
         let number = attempt as AttemptNumber + 1;
-        if !self.sidecars[attempt].gathering || !self.life.wants_dispatch(number) {
+        if !self.sidecars[attempt].reserving_memory || !self.lifecycle.wants_dispatch(number) {
             return Vec::new();
         }
-        let mut world = self.clone();
-        world.sidecars[attempt].gathering = false;
-        let mut nexts = Vec::new();
+        let mut model = self.clone();
+        model.sidecars[attempt].reserving_memory = false;
+        let mut successors = Vec::new();
         for busy in [false, true] {
             let refusal = Refusal::new(RefusalReason::NoEndpoint, "");
             let none = Event::NoEndpoint {
@@ -274,186 +274,201 @@
                 refusal,
                 busy,
             };
-            nexts.extend(world.clone().tell(none, budget));
+            successors.extend(model.clone().deliver_event(none, budget));
         }
-        let incarnation = world.sidecars[attempt].incarnation;
-        world.sidecars[attempt].meant_for = incarnation;
-        let gathered = vec![Event::Gathered { attempt: number }];
-        for (world, events) in world.send(attempt, Ask::Dispatch { incarnation }, gathered) {
-            nexts.extend(world.tell_all(events, budget));
+        let incarnation = model.sidecars[attempt].incarnation;
+        model.sidecars[attempt].dispatch_incarnation = incarnation;
+        let reserved = vec![Event::MemoryReserved { attempt: number }];
+        for (model, events) in model.send(attempt, Message::Dispatch { incarnation }, reserved) {
+            successors.extend(model.deliver_events(events, budget));
         }
-        nexts
+        successors
     }
 
-    /// Sends a message on a new call, or fails to.
-    fn send(mut self, attempt: usize, ask: Ask, events: Vec<Event>) -> Vec<(World, Vec<Event>)> {
+    /// Sends a message on a new call, or fails to send it.
+    fn send(
+        mut self,
+        attempt: usize,
+        message: Message,
+        events: Vec<Event>,
+    ) -> Vec<(Model, Vec<Event>)> {
         let number = attempt as AttemptNumber + 1;
-        let mut ways = Vec::new();
+        let mut variants = Vec::new();
         if self.faults.not_sent > 0 {
             let mut other = self.clone();
             other.faults.not_sent -= 1;
             let mut events = events.clone();
             events.push(Event::NotSent { attempt: number });
-            ways.push((other, events));
+            variants.push((other, events));
         }
         let sidecar = &mut self.sidecars[attempt];
         sidecar.call += 1;
         sidecar.replies.clear();
         let call = sidecar.call;
-        self.sent.push(Sent { attempt, call, ask });
+        self.sent.push(PendingMessage {
+            attempt,
+            call,
+            message,
+        });
         self.sent.sort();
         let mut events = events;
-        if matches!(ask, Ask::Dispatch { .. }) {
+        if matches!(message, Message::Dispatch { .. }) {
             events.push(Event::Sent {
                 attempt: number,
                 first_token_ms: 0,
             });
         }
-        ways.push((self, events));
-        ways
+        variants.push((self, events));
+        variants
     }
 
-    /// Each state that may follow this one.
-    pub(crate) fn nexts(&self, budget: &Budget) -> Vec<Next> {
-        let mut nexts = Vec::new();
+    /// All states that can follow this one.
+    pub(crate) fn successors(&self, budget: &RetryBudget) -> Vec<Next> {
+        let mut successors = Vec::new();
         for index in 0..self.sent.len() {
-            nexts.extend(self.arrive(index).into_iter().map(Ok));
+            successors.extend(self.arrive(index).into_iter().map(Ok));
         }
         for attempt in 0..self.sidecars.len() {
-            nexts.extend(self.work(attempt).into_iter().map(Ok));
-            nexts.extend(self.hear(attempt, budget));
-            nexts.extend(self.lose(attempt, budget));
-            nexts.extend(self.gathered(attempt, budget));
+            successors.extend(self.state(attempt).into_iter().map(Ok));
+            successors.extend(self.receive_reply(attempt, budget));
+            successors.extend(self.break_connection(attempt, budget));
+            successors.extend(self.finish_reservation(attempt, budget));
         }
         if self.now_ms < DEADLINE_MS {
             let mut later = self.clone();
             later.now_ms += 1;
-            nexts.extend(later.tell(Event::Tick, budget));
+            successors.extend(later.deliver_event(Event::Tick, budget));
         }
         if self.faults.caller_gone > 0 && self.end.is_none() {
             let mut gone = self.clone();
             gone.faults.caller_gone -= 1;
-            nexts.extend(gone.tell(Event::CallerGone, budget));
+            successors.extend(gone.deliver_event(Event::CallerGone, budget));
         }
-        nexts
+        successors
     }
 
-    /// A message reaches its sidecar.
-    fn arrive(&self, index: usize) -> Vec<World> {
-        let mut world = self.clone();
-        let Sent { attempt, call, ask } = world.sent.remove(index);
-        let mut ways = Vec::new();
-        let sidecar = &mut world.sidecars[attempt];
-        match ask {
-            Ask::Dispatch { incarnation } if incarnation != sidecar.incarnation => {
+    /// Delivers a message to its sidecar.
+    fn arrive(&self, index: usize) -> Vec<Model> {
+        let mut model = self.clone();
+        let PendingMessage {
+            attempt,
+            call,
+            message,
+        } = model.sent.remove(index);
+        let mut variants = Vec::new();
+        let sidecar = &mut model.sidecars[attempt];
+        match message {
+            Message::Dispatch { incarnation } if incarnation != sidecar.incarnation => {
                 sidecar.reply(call, refused(attempt, RefusalReason::StaleIncarnation));
             }
-            Ask::Dispatch { .. } => match sidecar.work {
-                Work::Unknown => {
-                    if world.faults.refusals > 0 {
-                        let mut other = world.clone();
+            Message::Dispatch { .. } => match sidecar.state {
+                SidecarState::Unknown => {
+                    if model.faults.refusals > 0 {
+                        let mut other = model.clone();
                         other.faults.refusals -= 1;
                         let event = refused(attempt, RefusalReason::Busy);
                         other.sidecars[attempt].reply(call, event);
-                        ways.push(other);
+                        variants.push(other);
                     }
-                    let sidecar = &mut world.sidecars[attempt];
-                    sidecar.work = Work::Queued;
+                    let sidecar = &mut model.sidecars[attempt];
+                    sidecar.state = SidecarState::Queued;
                     sidecar.reader = Some(call);
                     let attempt = attempt as AttemptNumber + 1;
                     sidecar.reply(call, Event::Accepted { attempt });
                 }
-                Work::Tombstone => {
+                SidecarState::Tombstone => {
                     sidecar.reply(call, refused(attempt, RefusalReason::Withdrawn));
                 }
                 _ => sidecar.reply(call, refused(attempt, RefusalReason::Duplicate)),
             },
-            Ask::Withdraw { incarnation } => {
+            Message::Withdraw { incarnation } => {
                 let state = sidecar.withdraw(incarnation);
                 let attempt = attempt as AttemptNumber + 1;
                 sidecar.reply(call, Event::Withdrawn { attempt, state });
             }
-            Ask::Resume { next_seq } => sidecar.resume(attempt, call, next_seq),
+            Message::Resume { next_seq } => sidecar.resume(attempt, call, next_seq),
         }
-        ways.push(world);
-        ways
+        variants.push(model);
+        variants
     }
 
-    /// A sidecar goes on with its work.
-    fn work(&self, attempt: usize) -> Vec<World> {
-        let mut ways = Vec::new();
-        let mut world = self.clone();
-        let sidecar = &mut world.sidecars[attempt];
-        match sidecar.work {
-            Work::Queued => {
-                sidecar.work = Work::Running { produced: 0 };
+    /// Advances the request at a sidecar by one step.
+    fn state(&self, attempt: usize) -> Vec<Model> {
+        let mut variants = Vec::new();
+        let mut model = self.clone();
+        let sidecar = &mut model.sidecars[attempt];
+        match sidecar.state {
+            SidecarState::Queued => {
+                sidecar.state = SidecarState::Running { produced: 0 };
                 sidecar.ran = true;
-                ways.push(world);
+                variants.push(model);
             }
-            Work::Running { produced } => {
+            SidecarState::Running { produced } => {
                 if self.faults.engine_failures > 0 {
                     let mut failed = self.clone();
                     failed.faults.engine_failures -= 1;
                     let sidecar = &mut failed.sidecars[attempt];
-                    sidecar.work = Work::Failed;
-                    sidecar.tell_reader(finished(attempt, Outcome::Failed));
-                    ways.push(failed);
+                    sidecar.state = SidecarState::Failed;
+                    sidecar.reply_to_reader(finished(attempt, Outcome::Failed));
+                    variants.push(failed);
                 }
                 if produced < FRAMES {
-                    sidecar.work = Work::Running {
+                    sidecar.state = SidecarState::Running {
                         produced: produced + 1,
                     };
-                    sidecar.tell_reader(frame(attempt, produced));
+                    sidecar.reply_to_reader(frame(attempt, produced));
                 } else {
-                    sidecar.work = Work::Answered;
-                    sidecar.tell_reader(finished(attempt, Outcome::Answered));
+                    sidecar.state = SidecarState::Answered;
+                    sidecar.reply_to_reader(finished(attempt, Outcome::Answered));
                 }
-                ways.push(world);
+                variants.push(model);
             }
             _ => {}
         }
-        ways
+        variants
     }
 
-    /// The gateway hears one of the replies under way.
-    fn hear(&self, attempt: usize, budget: &Budget) -> Vec<Next> {
-        let mut nexts = Vec::new();
+    /// Delivers one of the replies in flight to the gateway.
+    fn receive_reply(&self, attempt: usize, budget: &RetryBudget) -> Vec<Next> {
+        let mut successors = Vec::new();
         for index in 0..self.sidecars[attempt].replies.len() {
-            let mut world = self.clone();
-            let event = world.sidecars[attempt].replies.remove(index);
-            if self.faults.doubled_frames > 0 && matches!(event, Event::Frame { .. }) {
-                let mut doubled = self.clone();
-                doubled.faults.doubled_frames -= 1;
-                nexts.extend(doubled.tell(event.clone(), budget));
+            let mut model = self.clone();
+            let event = model.sidecars[attempt].replies.remove(index);
+            if self.faults.duplicate_frames > 0 && matches!(event, Event::Frame { .. }) {
+                let mut duplicated = self.clone();
+                duplicated.faults.duplicate_frames -= 1;
+                successors.extend(duplicated.deliver_event(event.clone(), budget));
             }
-            nexts.extend(world.tell(event, budget));
+            successors.extend(model.deliver_event(event, budget));
         }
-        nexts
+        successors
     }
 
-    /// The path to a sidecar breaks, with or without the sidecar's own end.
-    fn lose(&self, attempt: usize, budget: &Budget) -> Vec<Next> {
-        let mut nexts = Vec::new();
+    /// Breaks the connection to a sidecar, with or without a restart of the sidecar.
+    fn break_connection(&self, attempt: usize, budget: &RetryBudget) -> Vec<Next> {
+        let mut successors = Vec::new();
         let number = attempt as AttemptNumber + 1;
-        if self.faults.lost_paths > 0 {
+        if self.faults.lost_connections > 0 {
             let mut lost = self.clone();
-            lost.faults.lost_paths -= 1;
-            lost.sidecars[attempt].hang_up();
-            nexts.extend(lost.tell(Event::PathLost { attempt: number }, budget));
+            lost.faults.lost_connections -= 1;
+            lost.sidecars[attempt].disconnect();
+            successors
+                .extend(lost.deliver_event(Event::ConnectionLost { attempt: number }, budget));
         }
         if self.faults.crashes > 0 {
             let mut crashed = self.clone();
             crashed.faults.crashes -= 1;
             let sidecar = &mut crashed.sidecars[attempt];
-            sidecar.hang_up();
+            sidecar.disconnect();
             sidecar.incarnation += 1;
-            sidecar.work = Work::Unknown;
-            nexts.extend(crashed.tell(Event::PathLost { attempt: number }, budget));
+            sidecar.state = SidecarState::Unknown;
+            successors
+                .extend(crashed.deliver_event(Event::ConnectionLost { attempt: number }, budget));
         }
-        nexts
+        successors
     }
 
-    /// Checks what must hold in each state.
+    /// Checks the invariants of each state.
     pub(crate) fn check(&self) -> Result<(), Violation> {
         let ran = self.sidecars.iter().filter(|sidecar| sidecar.ran).count();
         if !self.idempotent && ran > 1 {
@@ -492,94 +507,97 @@
         }
     }
 
-    fn tell_reader(&mut self, event: Event) {
+    fn reply_to_reader(&mut self, event: Event) {
         if let Some(call) = self.reader {
             self.reply(call, event);
         }
     }
 
-    fn hang_up(&mut self) {
+    fn disconnect(&mut self) {
         self.replies.clear();
         self.reader = None;
         self.call += 1;
     }
 
-    /// Whether it works for nobody and hasn't been told.
+    /// Whether the request still runs here without a cancel.
     fn is_left_running(&self) -> bool {
-        let works = matches!(self.work, Work::Queued | Work::Running { .. });
-        works && !self.cancelled
+        let is_active = matches!(
+            self.state,
+            SidecarState::Queued | SidecarState::Running { .. }
+        );
+        is_active && !self.cancelled
     }
 
     fn withdraw(&mut self, incarnation: u8) -> WithdrawState {
         if incarnation != self.incarnation {
             return WithdrawState::CannotTell;
         }
-        match self.work {
-            Work::Unknown | Work::Tombstone | Work::Queued => {
-                self.work = Work::Tombstone;
+        match self.state {
+            SidecarState::Unknown | SidecarState::Tombstone | SidecarState::Queued => {
+                self.state = SidecarState::Tombstone;
                 WithdrawState::NeverStarted
             }
-            Work::Running { .. } => WithdrawState::Running,
-            Work::Answered | Work::Failed => WithdrawState::Finished,
+            SidecarState::Running { .. } => WithdrawState::Running,
+            SidecarState::Answered | SidecarState::Failed => WithdrawState::Finished,
         }
     }
 
     fn resume(&mut self, attempt: usize, call: u8, next_seq: u64) {
         self.reader = Some(call);
-        let produced = match self.work {
-            Work::Unknown | Work::Tombstone => {
+        let produced = match self.state {
+            SidecarState::Unknown | SidecarState::Tombstone => {
                 return self.reply(call, refused(attempt, RefusalReason::BadRequest));
             }
-            Work::Queued => 0,
-            Work::Running { produced } => produced,
-            Work::Answered => FRAMES,
-            Work::Failed => 0,
+            SidecarState::Queued => 0,
+            SidecarState::Running { produced } => produced,
+            SidecarState::Answered => FRAMES,
+            SidecarState::Failed => 0,
         };
         for seq in next_seq..produced {
             self.reply(call, frame(attempt, seq));
         }
-        match self.work {
-            Work::Answered => self.reply(call, finished(attempt, Outcome::Answered)),
-            Work::Failed => self.reply(call, finished(attempt, Outcome::Failed)),
+        match self.state {
+            SidecarState::Answered => self.reply(call, finished(attempt, Outcome::Answered)),
+            SidecarState::Failed => self.reply(call, finished(attempt, Outcome::Failed)),
             _ => {}
         }
     }
 }
 
-/// What an exploration found.
+/// Result of an exploration.
 #[derive(Debug, Default)]
-pub(crate) struct Found {
+pub(crate) struct Exploration {
     pub(crate) states: usize,
     pub(crate) outcomes: HashSet<String>,
     pub(crate) violation: Option<Violation>,
 }
 
-/// Goes through every order of events, each state once.
-pub(crate) fn explore(options: Options, faults: Faults, budget: &Budget) -> Found {
-    let mut found = Found::default();
+/// Explores every order of events and visits each state once.
+pub(crate) fn explore(options: Options, faults: Faults, budget: &RetryBudget) -> Exploration {
+    let mut exploration = Exploration::default();
     let mut seen = HashSet::new();
-    let mut open = World::begin(options, faults, budget);
-    while let Some(world) = open.pop() {
-        if !seen.insert(world.clone()) {
+    let mut unexplored = Model::begin(options, faults, budget);
+    while let Some(model) = unexplored.pop() {
+        if !seen.insert(model.clone()) {
             continue;
         }
-        if let Some(end) = world.end() {
-            found.outcomes.insert(format!("{:?}", end.outcome()));
+        if let Some(end) = model.end() {
+            exploration.outcomes.insert(format!("{:?}", end.outcome()));
         }
-        if let Err(violation) = world.check() {
-            found.violation = Some(violation);
+        if let Err(violation) = model.check() {
+            exploration.violation = Some(violation);
             break;
         }
-        for next in world.nexts(budget) {
+        for next in model.successors(budget) {
             match next {
-                Ok(next) => open.push(next),
+                Ok(next) => unexplored.push(next),
                 Err(violation) => {
-                    found.violation = Some(violation);
-                    return found;
+                    exploration.violation = Some(violation);
+                    return exploration;
                 }
             }
         }
     }
-    found.states = seen.len();
-    found
+    exploration.states = seen.len();
+    exploration
 }
--- a/src/command/gateway/mod.rs
+++ b/src/command/gateway/mod.rs
@@ -14,7 +14,7 @@
 use mgs_gateway::duty::Platform;
 use mgs_gateway::gateway;
 use mgs_gateway::gateway::Gateway;
-use mgs_request::plant::Plant;
+use mgs_request::injected_bug::InjectedBug;
 use mgs_routing::policy;
 
 use super::process;
@@ -168,10 +168,10 @@
     name
 }
 
-fn plant(values: &mut Values<'_>) -> Plant {
+fn plant(values: &mut Values<'_>) -> InjectedBug {
     let name = process::plant_name(values);
-    Plant::from_name(&name).unwrap_or_else(|| {
+    InjectedBug::from_name(&name).unwrap_or_else(|| {
         values.fault(process::PLANT, "no such deliberate bug in a gateway");
-        Plant::None
+        InjectedBug::None
     })
 }
--- a/src/command/gateway/numbers.rs
+++ b/src/command/gateway/numbers.rs
@@ -130,8 +130,8 @@
         help: "Most retries saved up for a burst",
         least: 0,
         most: 1_000_000,
-        get: |o| o.retry_budget.saved_max,
-        set: |o, n| o.retry_budget.saved_max = n,
+        get: |o| o.retry_budget.balance_max,
+        set: |o, n| o.retry_budget.balance_max = n,
     },
     Number {
         flag: "settings-poll-interval-ms",
