--- a/crates/mgs-admission/src/ageing.rs
+++ b/crates/mgs-admission/src/ageing.rs
@@ -12,8 +12,10 @@
 /// Queued requests by ageing time, the aged requests in order of ageing, and their token credit.
 #[derive(Debug, Default)]
 pub(crate) struct Ageing {
+    /// Requests that are not yet aged, by the time at which they become aged.
     due: BTreeSet<(u64, Key)>,
     aged: VecDeque<Key>,
+    /// Tokens that aged requests may start; may be negative.
     credit_tokens: f64,
 }
 
--- a/crates/mgs-admission/src/drain.rs
+++ b/crates/mgs-admission/src/drain.rs
@@ -8,7 +8,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct DrainRate {
     decay_ms: f64,
+    /// Work that left the queue, decayed.
     work: f64,
+    /// Time during which the queue was non-empty, decayed.
     busy_ms: f64,
     updated_ms: u64,
 }
--- a/crates/mgs-admission/src/flows.rs
+++ b/crates/mgs-admission/src/flows.rs
@@ -56,6 +56,7 @@
     queue: VecDeque<Key>,
     /// Weight of the row when the queue last became non-empty.
     weight: u32,
+    /// Tokens of the queued requests.
     tokens: u64,
     drain: DrainRate,
 }
@@ -95,6 +96,7 @@
 pub struct Flows {
     classes: Vec<Class>,
     class_keys: HashMap<Class, ClassKey>,
+    /// All classes, in the order of service.
     service_order: Vec<ClassKey>,
     class_states: Vec<ClassState>,
     queues_by_row: Vec<RowQueues>,
--- a/crates/mgs-request/src/event.rs
+++ b/crates/mgs-request/src/event.rs
@@ -96,7 +96,8 @@
     Dispatch {
         /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Reason of the retry; `None` for the first attempt.
+        /// Reason of the retry; `None` for the first attempt, and when an endpoint is chosen again
+        /// for the same attempt.
         retry: Option<RetryReason>,
     },
     /// Send a withdraw to the attempt's sidecar, over a new connection.
--- a/crates/mgs-request/src/lifecycle.rs
+++ b/crates/mgs-request/src/lifecycle.rs
@@ -67,7 +67,9 @@
     /// The attempt whose response is delivered to the caller.
     winner: Option<AttemptNumber>,
     reorder_buffer: ReorderBuffer,
+    /// The most recent refusal, reported if no attempt can have run.
     refusal: Option<Refusal>,
+    /// Set by [`InjectedBug::AdmittedAndForgotten`]; later events are ignored.
     forgotten: bool,
     ended: bool,
 }
--- a/crates/mgs-request/tests/life.rs
+++ b/crates/mgs-request/tests/life.rs
@@ -52,7 +52,7 @@
     })
 }
 
-fn assert_rules_hold(idempotent: bool, faults: Faults, budget: &RetryBudget) {
+fn assert_invariants_hold(idempotent: bool, faults: Faults, budget: &RetryBudget) {
     let exploration = explore(options(idempotent, InjectedBug::None), faults, budget);
     assert_eq!(exploration.violation, None);
     assert!(
@@ -69,11 +69,11 @@
 #[case::engines(Faults { engine_failures: 1, refusals: 1, lost_connections: 1, ..NO_FAULTS })]
 #[case::callers(Faults { caller_gone: 1, lost_connections: 1, duplicate_frames: 1, ..NO_FAULTS })]
 #[case::spans(Faults { spans: 2, lost_connections: 1, not_sent: 1, caller_gone: 1, ..NO_FAULTS })]
-fn no_order_of_events_breaks_a_rule(
+fn no_order_of_events_violates_an_invariant(
     #[case] faults: Faults,
     #[values(unlimited_budget(), empty_budget())] budget: RetryBudget,
 ) {
-    assert_rules_hold(false, faults, &budget);
+    assert_invariants_hold(false, faults, &budget);
 }
 
 /// Hedging multiplies the number of orders, so these cases inject fewer faults.
@@ -83,11 +83,11 @@
 #[case::engines(Faults { engine_failures: 1, refusals: 1, ..NO_FAULTS })]
 #[case::callers(Faults { caller_gone: 1, duplicate_frames: 1, ..NO_FAULTS })]
 #[case::spans(Faults { spans: 1, lost_connections: 1, ..NO_FAULTS })]
-fn no_order_of_events_breaks_a_rule_for_an_idempotent_request(
+fn no_order_of_events_violates_an_invariant_for_an_idempotent_request(
     #[case] faults: Faults,
     #[values(unlimited_budget(), empty_budget())] budget: RetryBudget,
 ) {
-    assert_rules_hold(true, faults, &budget);
+    assert_invariants_hold(true, faults, &budget);
 }
 
 #[rstest]
