--- a/src/command/gateway/number_settings.rs
+++ b/src/command/gateway/number_settings.rs
@@ -130,8 +130,8 @@
         help: "Maximum number of unused retries saved for a burst",
         min: 0,
         max: 1_000_000,
-        get: |o| o.retry_budget.saved_max,
-        set: |o, n| o.retry_budget.saved_max = n,
+        get: |o| o.retry_budget.balance_max,
+        set: |o, n| o.retry_budget.balance_max = n,
     },
     NumberSetting {
         flag: "settings-poll-interval-ms",
--- a/tests/bound.rs
+++ b/tests/bound.rs
@@ -110,7 +110,7 @@
 
 /// Shares of the units that were lost, that were unservable, and that could have been served.
 fn shares(result: &Account) -> (f64, f64, f64) {
-    let parts = result.split.kinds["streaming 1000/250 ms"];
+    let parts = result.breakdown.kinds["streaming 1000/250 ms"];
     let share = |units: f64| (units / parts.units * 100.0).round() / 100.0;
     (
         share(parts.lost_units),
