--- a/crates/mgs-ledger/src/cache.rs
+++ b/crates/mgs-ledger/src/cache.rs
@@ -1,13 +1,16 @@
-//! The engine's cache events, which come late and with gaps.
+//! An index of the blocks in the engine's prefix cache, built from its numbered cache events.
+//!
+//! Events may arrive late, twice or with gaps. A gap resets the index, since the missed changes
+//! are unknown. Readers poll for deltas from a position of their own.
 
 use std::collections::BTreeSet;
 
-/// Settings of the index.
+/// Limits of the index.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// Most blocks remembered.
+    /// Maximum number of blocks in the index.
     pub blocks_max: usize,
-    /// Most blocks in one delta.
+    /// Maximum number of changes in one delta.
     pub delta_max: usize,
 }
 
@@ -20,10 +23,10 @@
     }
 }
 
-/// One change, as the engine numbers it.
+/// One cache event of the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change {
-    /// Number of the event; a missing number is a gap.
+    /// Sequence number of the event; a missing number is a gap.
     pub number: u64,
     /// Chained hash of the block.
     pub block: u64,
@@ -31,10 +34,10 @@
     pub cached: bool,
 }
 
-/// What is new for gateways.
+/// Changes that a reader has not seen yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// Whether they must forget what they knew.
+    /// Whether the reader must discard its state before applying this delta.
     pub reset: bool,
     /// Blocks newly cached.
     pub cached: Vec<u64>,
@@ -42,17 +45,17 @@
     pub evicted: Vec<u64>,
 }
 
-/// Blocks believed to be in the engine's cache.
+/// Index of the blocks believed to be in the engine's cache.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Cache {
     options: Options,
     seen: u64,
     blocks: BTreeSet<u64>,
-    /// Changes that every reader with an older position still has to learn.
+    /// Recent changes (block, cached) in order, served to readers at an older position.
     log: Vec<(u64, bool)>,
-    /// Position of the first entry of `log`; grows for ever.
+    /// Position of the first entry of `log`; never decreases.
     log_start: u64,
-    /// Position before which every reader must forget what it knew.
+    /// Readers at a position before this one must discard their state.
     reset_at: u64,
 }
 
@@ -76,12 +79,12 @@
         }
     }
 
-    /// Number of the last event seen, to ask for those after it.
+    /// Sequence number of the last event applied, from which the next events are requested.
     pub fn seen(&self) -> u64 {
         self.seen
     }
 
-    /// Takes events; those seen before are dropped, and a gap makes the index start anew.
+    /// Applies events. Those already seen are ignored, and a gap resets the index.
     pub fn apply(&mut self, changes: &[Change]) {
         for change in changes {
             if change.number <= self.seen {
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Forgets everything (a gap, or another start of the engine that counts anew).
+    /// Clears the index and makes every reader discard its state.
     pub fn reset(&mut self) {
         self.blocks.clear();
         self.log_start += self.log.len() as u64 + 1;
@@ -103,7 +106,7 @@
         self.reset_at = self.log_start;
     }
 
-    /// As [`Cache::reset`], and events are numbered from 1 again.
+    /// Clears the index after an engine restart, which numbers its events from 1 again.
     pub fn restart(&mut self) {
         self.reset();
         self.seen = 0;
@@ -128,7 +131,8 @@
         }
     }
 
-    /// What a reader at `position` has to learn, a bounded part of it, and its next position.
+    /// Returns the next changes for a reader at `position`, at most [`Options::delta_max`], and
+    /// the position to continue from.
     pub fn delta(&self, position: u64) -> (Delta, u64) {
         let reset = position < self.reset_at;
         let from = position.max(self.log_start);
@@ -140,12 +144,12 @@
         let mut next = from;
         for (block, cached) in self.log.iter().skip(skip).take(self.options.delta_max) {
             next += 1;
-            delta.note(*block, *cached);
+            delta.record(*block, *cached);
         }
         (delta, next)
     }
 
-    /// Blocks of a prompt that are cached, counted from its start.
+    /// Length, in blocks, of the cached prefix of a prompt with these block hashes.
     pub fn cached_blocks(&self, hashes: &[u64]) -> usize {
         let cached = |hash: &&u64| self.blocks.contains(hash);
         hashes.iter().take_while(cached).count()
@@ -153,8 +157,8 @@
 }
 
 impl Delta {
-    /// The later change of a block counts.
-    fn note(&mut self, block: u64, cached: bool) {
+    /// Adds a change, which replaces an earlier one of the same block.
+    fn record(&mut self, block: u64, cached: bool) {
         self.cached.retain(|known| *known != block);
         self.evicted.retain(|known| *known != block);
         match cached {
--- a/crates/mgs-ledger/src/plant.rs
+++ b/crates/mgs-ledger/src/fault.rs
@@ -1,21 +1,21 @@
-//! Deliberate faults, to show that tests and history checks find them.
+//! Injected faults, which show that tests and history checks detect such bugs.
 
 use std::str::FromStr;
 
 use displaydoc::Display;
 
-/// A deliberate fault of the ledger. Never set outside tests.
+/// An injected fault of the ledger. Never set outside tests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub enum Plant {
+pub enum InjectedFault {
     /// No fault.
     #[default]
     None,
-    /// A withdrawal is answered `never started`, and the request may start later all the same:
-    /// neither a tombstone nor a closed session keeps it from that.
+    /// A withdrawal is answered `never started`, but the request may still start later: no
+    /// tombstone is written and messages of closed sessions are accepted.
     DroppedTombstone,
-    /// Streams that must end aren't cancelled at the engine.
+    /// Streams and KV that are no longer needed aren't freed at the engine.
     ForgottenCancel,
-    /// Orders with old fencing numbers are obeyed.
+    /// Orders with stale fencing numbers are accepted.
     IgnoredFence,
 }
 
@@ -25,7 +25,7 @@
 
 impl std::error::Error for ParseError {}
 
-impl FromStr for Plant {
+impl FromStr for InjectedFault {
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
--- a/crates/mgs-ledger/src/fence.rs
+++ b/crates/mgs-ledger/src/fence.rs
@@ -1,15 +1,16 @@
-//! The highest fencing number seen, so that orders can't come from the past.
+//! Fencing of control-plane orders: an order with a lower fencing number than one already seen is
+//! rejected as stale.
 
-use crate::plant::Plant;
+use crate::fault::InjectedFault;
 
-/// What to do with an order.
+/// Result of a fencing check on an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Obey it; its number is now the highest.
-    Obey,
-    /// Refuse it: a higher number was seen.
+    /// The order is accepted; its number is now the highest.
+    Accept,
+    /// The order is refused: a higher number was seen.
     Stale,
-    /// Refuse it: nothing is known of earlier numbers yet.
+    /// The order is refused: the highest earlier number is not known yet.
     NotReady,
 }
 
@@ -17,11 +18,11 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
     highest: Option<u64>,
-    plant: Plant,
+    injected_fault: InjectedFault,
 }
 
 impl Fence {
-    /// A fence that obeys nothing until it has learnt a number.
+    /// A fence that accepts no order until a number is restored.
     ///
     /// ```
     /// use mgs_ledger::fence::Fence;
@@ -29,23 +30,24 @@
     ///
     /// let mut fence = Fence::new(Default::default());
     /// assert_eq!(fence.check(5), Verdict::NotReady);
-    /// fence.learn(5);
-    /// assert_eq!(fence.check(5), Verdict::Obey);
+    /// fence.restore(5);
+    /// assert_eq!(fence.check(5), Verdict::Accept);
     /// assert_eq!(fence.check(4), Verdict::Stale);
     /// ```
-    pub fn new(plant: Plant) -> Self {
+    pub fn new(injected_fault: InjectedFault) -> Self {
         Self {
             highest: None,
-            plant,
+            injected_fault,
         }
     }
 
-    /// Takes a number that was kept elsewhere; 0 says that no order was ever obeyed.
-    pub fn learn(&mut self, number: u64) {
+    /// Restores a number from external storage; 0 means that no order was ever accepted. The
+    /// highest number never decreases.
+    pub fn restore(&mut self, number: u64) {
         self.highest = self.highest.max(Some(number));
     }
 
-    /// Whether a number was learnt.
+    /// Whether a number was restored.
     pub fn is_ready(&self) -> bool {
         self.highest.is_some()
     }
@@ -55,17 +57,17 @@
         self.highest.unwrap_or(0)
     }
 
-    /// Judges the order with this number, and raises the highest.
+    /// Checks an order with this number, and raises the highest number if it is accepted.
     pub fn check(&mut self, number: u64) -> Verdict {
-        if self.plant == Plant::IgnoredFence {
-            return Verdict::Obey;
+        if self.injected_fault == InjectedFault::IgnoredFence {
+            return Verdict::Accept;
         }
         match self.highest {
             None => Verdict::NotReady,
             Some(highest) if number < highest => Verdict::Stale,
             Some(_) => {
                 self.highest = Some(number);
-                Verdict::Obey
+                Verdict::Accept
             }
         }
     }
--- a/crates/mgs-ledger/src/job.rs
+++ b/crates/mgs-ledger/src/job.rs
@@ -1,64 +1,65 @@
-//! A request as the ledger sees it.
+//! The metadata of a dispatched request.
 
 use mgs_schema::key::RequestId;
 
-/// Key of an organisation within one ledger.
+/// Identifier of an organisation, local to one ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrganisationKey(pub u32);
 
-/// Who sent a message.
+/// Origin of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Sender {
     /// Incarnation of the gateway.
     pub gateway: u64,
-    /// Its session.
+    /// Session number of the gateway; a newer session has a higher number.
     pub session: u64,
-    /// The connection on which the message came.
+    /// Connection on which the message arrived.
     pub connection: u64,
 }
 
 /// A dispatched request, without its body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Job {
-    /// Its identifier.
+    /// Request identifier.
     pub id: RequestId,
-    /// Attempt, from 1.
+    /// Attempt number, starting at 1.
     pub attempt: u32,
-    /// Who sent it.
+    /// Origin of the dispatch.
     pub sender: Sender,
-    /// Incarnation of the sidecar that it is meant for.
+    /// Incarnation of the sidecar that the dispatch is addressed to.
     pub sidecar_incarnation: u64,
-    /// Organisation.
+    /// Organisation that the request belongs to.
     pub organisation: OrganisationKey,
-    /// Weight of its row.
+    /// Weight of its organisation in fair queueing.
     pub weight: u32,
     /// Priority; 0 is served first.
     pub priority: u32,
-    /// Prompt length.
+    /// Prompt length, in tokens.
     pub prompt_tokens: u64,
     /// Prompt tokens believed to be in the engine's cache.
     pub cached_tokens: u64,
-    /// Longest answer.
+    /// Maximum answer length, in tokens.
     pub max_tokens: u64,
-    /// What is left of its allotted time, in milliseconds.
+    /// Remaining time budget, in milliseconds.
     pub budget_ms: u64,
-    /// How long it may go on without its gateway, in milliseconds; 0 for the ledger's lease.
+    /// How long it may run while its gateway is disconnected, in milliseconds. The ledger's
+    /// gateway lease applies if that is longer.
     pub orphan_ms: u64,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Reservation that it uses; 0 for none.
+    /// Span reservation whose memory it uses; 0 for none.
     pub span: u64,
-    /// Whether its model is about to be unloaded here.
+    /// Whether its model is about to be unloaded from this endpoint.
     pub unloading: bool,
 }
 
 impl Job {
-    /// Engine memory that it needs.
+    /// Engine memory that it needs, in tokens: prompt and longest answer.
     pub fn need_tokens(&self) -> u64 {
         self.prompt_tokens.saturating_add(self.max_tokens)
     }
 
-    /// Prompt tokens that the engine must process.
+    /// Prompt tokens that the engine must process, those not cached.
     pub fn prefill_tokens(&self) -> u64 {
         self.prompt_tokens.saturating_sub(self.cached_tokens)
     }
--- a/crates/mgs-ledger/src/ledger.rs
+++ b/crates/mgs-ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The decisions of a sidecar on the messages of gateways.
+//! The ledger of a sidecar: admission of dispatched requests, and the state that all events share.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -7,58 +7,58 @@
 use mgs_schema::wire::RefusalReason;
 
 use crate::action::Action;
+use crate::fault::InjectedFault;
 use crate::job::Job;
 use crate::job::Sender;
 use crate::memory::Memory;
-use crate::plant::Plant;
 use crate::queue::Queue;
 use crate::queue::Waiting;
 use crate::rate;
 use crate::rate::Rates;
 use crate::record;
-use crate::record::Fate;
+use crate::record::FinalState;
 use crate::record::Records;
 use crate::session::Sessions;
 
-/// Settings of a ledger.
+/// Settings of the ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long a gateway may be gone before its requests are cancelled, in milliseconds.
+    /// How long a gateway may be disconnected before its requests are cancelled, in milliseconds.
     pub gateway_lease_ms: u64,
-    /// How long the record of a request is kept after its end, in milliseconds; longer than the
-    /// longest allotted time.
+    /// How long the record of a request is kept after its end, in milliseconds. Must be longer
+    /// than the longest time budget.
     pub record_keep_ms: u64,
-    /// How long an answer is kept for a resume after its end, in milliseconds.
+    /// How long a complete answer is retained for a resume, in milliseconds.
     pub answer_keep_ms: u64,
-    /// Bytes of ended answers that are kept.
+    /// Maximum size of all retained answers, in bytes; the newest is retained whatever its size.
     pub answers_max_bytes: u64,
-    /// Bounds of the records.
+    /// Limits of the records.
     pub records: record::Options,
-    /// Most requests that wait.
+    /// Maximum number of waiting requests.
     pub waiting_max: usize,
-    /// Most requests that run.
+    /// Maximum number of requests at the endpoint.
     pub running_max: usize,
-    /// Prompts of this length or more count as long.
+    /// Minimum prefill of a long prompt, in tokens that aren't cached.
     pub long_prompt_tokens: u64,
-    /// Most tokens of long prompts that are processed at the same time; a single longer one runs
-    /// alone. `u64::MAX` for no cap.
+    /// Maximum sum of the prefill tokens of long prompts in progress; a longer single prompt runs
+    /// without other long ones. `u64::MAX` for no limit.
     pub long_prefill_max_tokens: u64,
-    /// Most later starts that go past a request that doesn't fit into the memory left.
+    /// Maximum number of starts that may bypass a request that doesn't fit into free memory.
     pub bypass_max: u32,
-    /// How close to its deadline a request goes ahead of the fair order of its level, in
-    /// milliseconds.
+    /// Time before its deadline from which a request precedes the fair order of its priority
+    /// level, in milliseconds.
     pub urgent_ms: u64,
-    /// How long a stream or KV that nobody owns is left for its owner to come back, in
+    /// How long an unowned stream or KV is kept so that its owner can reconnect and adopt it, in
     /// milliseconds.
     pub adopt_ms: u64,
-    /// Time between attempts to free memory at the engine, in milliseconds.
+    /// Interval between attempts to free an allocation at the engine, in milliseconds.
     pub free_retry_ms: u64,
-    /// How long no start is tried after the engine said that it is full, in milliseconds.
+    /// Pause of starts after the endpoint reported that it is full, in milliseconds.
     pub full_pause_ms: u64,
-    /// Rates taken for granted until measured.
+    /// Initial rates, used until measured.
     pub rates: rate::Options,
-    /// A deliberate fault, for tests.
-    pub plant: Plant,
+    /// A fault to inject, for tests.
+    pub injected_fault: InjectedFault,
 }
 
 impl Default for Options {
@@ -79,54 +79,55 @@
             free_retry_ms: 500,
             full_pause_ms: 50,
             rates: rate::Options::default(),
-            plant: Plant::None,
+            injected_fault: InjectedFault::None,
         }
     }
 }
 
-/// Answer to a dispatch.
+/// Result of a dispatch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// It waits; an action will follow.
+pub enum DispatchResult {
+    /// The request waits; an action follows later.
     Queued {
         /// Predicted time to the first token, in milliseconds.
         first_token_ms: u64,
     },
-    /// It is refused.
+    /// The request is refused.
     Refused {
         /// Why.
         reason: RefusalReason,
-        /// When to come back, in milliseconds; 0 if unknown.
+        /// Delay before the caller should retry, in milliseconds; 0 if unknown.
         retry_after_ms: u64,
     },
 }
 
-/// Answer to a resume.
+/// Result of a resume.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Resumed {
-    /// The answer, or its beginning, is here.
+pub enum ResumeResult {
+    /// The answer is available, or will be once the request has run.
     Attach,
-    /// The stream of an earlier incarnation goes on at the engine; read it.
+    /// The engine still runs the stream, started by an earlier incarnation of the sidecar; it is
+    /// now to be read.
     Adopt {
-        /// Its name.
+        /// Name of the stream at the engine.
         stream: String,
-        /// The attempt that it belongs to.
+        /// Attempt that the stream belongs to.
         attempt: u32,
     },
-    /// The request ran, and its answer is no longer kept.
+    /// The request ran, and its answer is no longer retained.
     Dropped,
     /// The request never started here.
     NeverStarted,
-    /// Nothing is known of the request.
+    /// The request is unknown.
     Unknown,
     /// The message came on a session that a newer one has closed.
     Stale,
 }
 
-/// Why the endpoint takes no new work.
+/// Reasons why the endpoint takes no new work.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Closed {
-    /// The process, its host or its endpoint is leaving.
+pub(crate) struct Unavailable {
+    /// The process, its host or its endpoint is being taken out of service.
     pub(crate) leaving: bool,
     /// The endpoint doesn't answer.
     pub(crate) down: bool,
@@ -134,20 +135,20 @@
 
 /// A request that was handed to the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Live {
-    /// As it waited.
+pub(crate) struct InFlight {
+    /// Its queue entry.
     pub(crate) waiting: Waiting,
-    /// Whether the endpoint is known to have started it.
+    /// Whether the endpoint has confirmed the start.
     pub(crate) running: bool,
-    /// When it was handed over.
+    /// When it was handed to the endpoint.
     pub(crate) started_ms: u64,
-    /// When its first token came.
+    /// When its first token arrived.
     pub(crate) first_token_ms: Option<u64>,
-    /// Whether its reader was told an end before the endpoint was done.
-    pub(crate) told: bool,
+    /// Whether an outcome was reported to the reader before the endpoint finished.
+    pub(crate) outcome_reported: bool,
 }
 
-impl Live {
+impl InFlight {
     pub(crate) fn job(&self) -> &Job {
         &self.waiting.job
     }
@@ -162,21 +163,21 @@
     pub(crate) records: Records,
     pub(crate) memory: Memory,
     pub(crate) queue: Queue,
-    pub(crate) live: BTreeMap<RequestId, Live>,
+    pub(crate) in_flight: BTreeMap<RequestId, InFlight>,
     pub(crate) rates: Rates,
-    pub(crate) closed: Closed,
-    /// Ended requests whose answer is kept: when it is dropped, whose, bytes; oldest first.
+    pub(crate) unavailable: Unavailable,
+    /// Retained answers, oldest first: when the answer expires, its request, its size in bytes.
     pub(crate) answers: VecDeque<(u64, RequestId, u64)>,
     pub(crate) answers_bytes: u64,
-    /// Since when prompt processing has had no sample taken.
-    pub(crate) prefill_from_ms: u64,
-    /// Mean time from start to end, in milliseconds.
+    /// Start of the interval that the next prefill rate sample covers.
+    pub(crate) prefill_sample_start_ms: u64,
+    /// Moving average of the time from start to end, in milliseconds.
     pub(crate) mean_run_ms: u64,
-    /// No start before this time.
-    pub(crate) full_until_ms: u64,
-    /// Boot number of the engine.
+    /// No request is started before this time.
+    pub(crate) starts_paused_until_ms: u64,
+    /// Boot number of the engine; 0 until the engine has answered.
     pub(crate) boot: u64,
-    /// Most streams that the engine takes.
+    /// Maximum number of streams at the engine.
     pub(crate) streams_max: usize,
     pub(crate) actions: Vec<Action>,
 }
@@ -198,14 +199,14 @@
             records: Records::new(options.records.clone()),
             memory: Memory::default(),
             queue: Queue::default(),
-            live: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             rates: Rates::new(options.rates.clone()),
-            closed: Closed::default(),
+            unavailable: Unavailable::default(),
             answers: VecDeque::new(),
             answers_bytes: 0,
-            prefill_from_ms: 0,
+            prefill_sample_start_ms: 0,
             mean_run_ms: 0,
-            full_until_ms: 0,
+            starts_paused_until_ms: 0,
             boot: 0,
             streams_max: usize::MAX,
             actions: Vec::new(),
@@ -213,36 +214,36 @@
         }
     }
 
-    /// What is to be done since the last call, in order.
+    /// Returns the actions added since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether nothing waits or runs.
+    /// Whether no request waits or is in flight.
     pub fn is_idle(&self) -> bool {
-        self.queue.is_empty() && self.live.is_empty()
+        self.queue.is_empty() && self.in_flight.is_empty()
     }
 
-    /// A message of a gateway came; returns whether its session is open.
-    pub fn heard(&mut self, sender: &Sender) -> bool {
-        self.sessions.heard(sender)
+    /// Handles a message of a gateway; returns whether its session is open.
+    pub fn message_received(&mut self, sender: &Sender) -> bool {
+        self.sessions.message_received(sender)
     }
 
-    /// A connection has ended.
+    /// Handles the end of a connection.
     pub fn connection_closed(&mut self, now_ms: u64, connection: u64) {
-        self.sessions.closed(now_ms, connection);
+        self.sessions.connection_closed(now_ms, connection);
     }
 
-    /// Takes a dispatched request, or refuses it.
-    pub fn dispatch(&mut self, now_ms: u64, job: &Job) -> Verdict {
+    /// Queues a dispatched request, or refuses it.
+    pub fn dispatch(&mut self, now_ms: u64, job: &Job) -> DispatchResult {
         if let Some(reason) = self.identity_refusal(job) {
-            return Verdict::Refused {
+            return DispatchResult::Refused {
                 reason,
                 retry_after_ms: 0,
             };
         }
-        if let Some((reason, retry_after_ms)) = self.room_refusal(now_ms, job) {
-            return Verdict::Refused {
+        if let Some((reason, retry_after_ms)) = self.capacity_refusal(now_ms, job) {
+            return DispatchResult::Refused {
                 reason,
                 retry_after_ms,
             };
@@ -251,29 +252,31 @@
         self.records.forget(job.id);
         self.queue.push(now_ms, *job);
         self.schedule(now_ms);
-        Verdict::Queued { first_token_ms }
+        DispatchResult::Queued { first_token_ms }
     }
 
-    /// Why this message may not start the request, whatever the load.
+    /// Why this dispatch must not start the request, regardless of load: it addresses another
+    /// incarnation, repeats a known attempt or comes from a closed session.
     fn identity_refusal(&mut self, job: &Job) -> Option<RefusalReason> {
         if job.sidecar_incarnation != self.incarnation {
             return Some(RefusalReason::StaleIncarnation);
         }
-        let is_open = self.sessions.heard(&job.sender);
-        if self.live.contains_key(&job.id) || self.queue.contains(job.id) {
+        let is_open = self.sessions.message_received(&job.sender);
+        if self.in_flight.contains_key(&job.id) || self.queue.contains(job.id) {
             return Some(RefusalReason::Duplicate);
         }
         let refusal = self
             .records
-            .fate(job.id)
-            .and_then(|fate| fate_refusal(fate, job));
-        let is_stale = !is_open && self.options.plant != Plant::DroppedTombstone;
+            .final_state(job.id)
+            .and_then(|final_state| final_state_refusal(final_state, job));
+        let is_stale = !is_open && self.options.injected_fault != InjectedFault::DroppedTombstone;
         refusal.or(is_stale.then_some(RefusalReason::StaleSession))
     }
 
-    /// Refuses new work from now on, and what waits; or takes work again.
+    /// Sets whether the endpoint is leaving. While it is, new requests are refused; setting it also
+    /// refuses all waiting requests.
     pub fn set_leaving(&mut self, now_ms: u64, leaving: bool) {
-        self.closed.leaving = leaving;
+        self.unavailable.leaving = leaving;
         if leaving {
             self.refuse_all_waiting(now_ms, RefusalReason::Leaving);
         }
@@ -281,21 +284,21 @@
 
     /// Whether new work is refused because the endpoint is leaving.
     pub fn is_leaving(&self) -> bool {
-        self.closed.leaving
+        self.unavailable.leaving
     }
 
     /// Whether new work is refused because the endpoint doesn't answer.
     pub fn is_down(&self) -> bool {
-        self.closed.down
+        self.unavailable.down
     }
 }
 
-/// Why what became of a request keeps this message from starting it.
-fn fate_refusal(fate: Fate, job: &Job) -> Option<RefusalReason> {
-    match fate {
-        Fate::Ran { attempt, .. } if job.idempotent && job.attempt > attempt => None,
-        Fate::Ran { .. } => Some(RefusalReason::Duplicate),
-        Fate::NeverStarted { attempt } if job.attempt > attempt => None,
-        Fate::NeverStarted { .. } => Some(RefusalReason::Withdrawn),
+/// Why a recorded final state keeps a dispatch from starting the request.
+fn final_state_refusal(final_state: FinalState, job: &Job) -> Option<RefusalReason> {
+    match final_state {
+        FinalState::Ran { attempt, .. } if job.idempotent && job.attempt > attempt => None,
+        FinalState::Ran { .. } => Some(RefusalReason::Duplicate),
+        FinalState::NeverStarted { attempt } if job.attempt > attempt => None,
+        FinalState::NeverStarted { .. } => Some(RefusalReason::Withdrawn),
     }
 }
--- a/crates/mgs-ledger/src/lib.rs
+++ b/crates/mgs-ledger/src/lib.rs
@@ -1,31 +1,35 @@
-//! A sidecar's ledger: at-most-once execution, engine memory and the local order of work.
+//! The request state of one sidecar: at-most-once execution, engine memory accounting and
+//! scheduling.
 //!
-//! [`ledger::Ledger`] takes typed events with the time on the process's monotonic clock and gives
-//! typed [`action::Action`]s; it has no clock, thread, socket, log or random source of its own.
-//! It is made of parts that stand alone as well:
+//! [`ledger::Ledger`] is a sans-I/O state machine. Its methods take typed events with the time on
+//! the process's monotonic clock, and it returns typed [`action::Action`]s; it has no clock,
+//! thread, socket, log or random source of its own. These parts can also be used independently:
 //!
-//! - [`session`]: which gateways are there, and which of their sessions is the newest.
-//! - [`record`]: what became of requests that are over, and the tombstones of withdrawn ones.
-//! - [`memory`]: one owner and one expiry for each allocation at the engine.
-//! - [`queue`]: the local order of work.
-//! - [`rate`]: measured rates and the predictions made from them.
+//! - [`session`]: connected gateways and the newest session of each.
+//! - [`record`]: final states of requests, and tombstones of withdrawn ones.
+//! - [`memory`]: engine memory allocations, each with one owner and one expiry.
+//! - [`queue`]: scheduling order of waiting requests.
+//! - [`rate`]: measured engine rates and the predictions made from them.
 //! - [`fence`]: the highest fencing number seen.
-//! - [`schedule`]: what starts next, and what is refused early.
-//! - [`reconcile`]: the engine's own lists against the ledger.
-//! - [`finish`]: what the endpoint did with a request.
-//! - [`cache`]: the engine's cache events, with their gaps found.
+//! - [`cache`]: an index of the engine's prefix cache, kept from its event stream.
+//!
+//! These modules hold types and methods of the ledger:
+//!
+//! - [`schedule`]: choice of the next request to start, and early refusal.
+//! - [`reconcile`]: comparison of the engine's lists with the ledger.
+//! - [`execution`]: events that report how the endpoint executed a request.
 
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
 pub mod action;
 pub mod cache;
+pub mod execution;
+pub mod fault;
 pub mod fence;
-pub mod finish;
 pub mod job;
 pub mod ledger;
 pub mod memory;
-pub mod plant;
 pub mod queue;
 pub mod rate;
 pub mod reconcile;
--- a/crates/mgs-ledger/src/memory.rs
+++ b/crates/mgs-ledger/src/memory.rs
@@ -1,12 +1,12 @@
-//! The engine's memory: one owner and one expiry for each allocation.
+//! Accounting of the engine's memory: each allocation has one owner and one expiry.
 
 use std::collections::BTreeMap;
 
 use mgs_schema::key::RequestId;
 
-/// What holds memory.
+/// Key of an allocation: what holds the memory.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Holding {
+pub enum AllocationKey {
     /// The stream of an attempt of a request.
     Stream {
         /// The request.
@@ -14,65 +14,65 @@
         /// Its attempt.
         attempt: u32,
     },
-    /// A reservation.
+    /// A span reservation, by the span's number.
     Span(u64),
-    /// A stream that the engine lists and no request here owns.
-    Foreign(String),
-    /// KV outside streams.
+    /// A stream that the engine lists and no known request owns, by its name.
+    UnownedStream(String),
+    /// Exported or imported KV outside of streams, by its name.
     Kv(String),
 }
 
-/// Who answers for an allocation.
+/// Owner of an allocation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Owner {
-    /// Nobody known here.
+    /// No known owner.
     Nobody,
-    /// A request; it ends with it.
+    /// A request; the allocation ends with it.
     Request(RequestId),
-    /// A reservation; it ends with it.
+    /// A span reservation; the allocation ends with it.
     Span(u64),
-    /// A gateway; it ends with its lease.
+    /// A gateway incarnation; the allocation ends when its lease expires.
     Gateway(u64),
 }
 
-/// Memory that is held.
+/// An allocation of engine memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Allocation {
-    /// How much.
+    /// Size, in tokens.
     pub tokens: u64,
-    /// When it is to be freed at the latest.
+    /// Time at which it is freed at the latest.
     pub expires_ms: u64,
-    /// Who answers for it.
+    /// Its owner.
     pub owner: Owner,
-    /// When the next attempt to free it is due; `None` while it is wanted.
-    pub freeing_ms: Option<u64>,
+    /// When the next attempt to free it is due; `None` while it is in use.
+    pub next_free_ms: Option<u64>,
 }
 
-/// Allocations by what holds them.
+/// Allocations by key, with their total size.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Memory {
     capacity_tokens: Option<u64>,
     used_tokens: u64,
-    held: BTreeMap<Holding, Allocation>,
+    allocations: BTreeMap<AllocationKey, Allocation>,
 }
 
 impl Memory {
-    /// Sets how much there is.
+    /// Sets the capacity.
     pub fn set_capacity(&mut self, capacity_tokens: u64) {
         self.capacity_tokens = Some(capacity_tokens);
     }
 
-    /// How much there is, if known.
+    /// Capacity in tokens, if known.
     pub fn capacity_tokens(&self) -> Option<u64> {
         self.capacity_tokens
     }
 
-    /// How much is held.
+    /// Sum of all allocations, in tokens.
     pub fn used_tokens(&self) -> u64 {
         self.used_tokens
     }
 
-    /// Whether `tokens` more would fit. Unknown capacity holds anything.
+    /// Whether `tokens` more would fit. Anything fits while the capacity is unknown.
     ///
     /// ```
     /// use mgs_ledger::memory::Memory;
@@ -89,64 +89,75 @@
         }
     }
 
-    /// Takes or replaces an allocation.
-    pub fn hold(&mut self, holding: Holding, allocation: Allocation) {
-        self.free(&holding);
+    /// Inserts or replaces an allocation.
+    pub fn insert(&mut self, key: AllocationKey, allocation: Allocation) {
+        self.free(&key);
         self.used_tokens += allocation.tokens;
-        self.held.insert(holding, allocation);
+        self.allocations.insert(key, allocation);
     }
 
-    /// Frees an allocation; freeing an unknown one changes nothing.
-    pub fn free(&mut self, holding: &Holding) -> Option<Allocation> {
-        let allocation = self.held.remove(holding)?;
+    /// Removes an allocation; removing an unknown one changes nothing.
+    pub fn free(&mut self, key: &AllocationKey) -> Option<Allocation> {
+        let allocation = self.allocations.remove(key)?;
         self.used_tokens -= allocation.tokens;
         Some(allocation)
     }
 
-    /// An allocation.
-    pub fn get(&self, holding: &Holding) -> Option<&Allocation> {
-        self.held.get(holding)
+    /// Returns an allocation.
+    pub fn get(&self, key: &AllocationKey) -> Option<&Allocation> {
+        self.allocations.get(key)
     }
 
-    /// An allocation, to change its times.
-    pub fn get_mut(&mut self, holding: &Holding) -> Option<&mut Allocation> {
-        self.held.get_mut(holding)
+    /// Returns an allocation to change its owner or times; its size must not change.
+    pub fn get_mut(&mut self, key: &AllocationKey) -> Option<&mut Allocation> {
+        self.allocations.get_mut(key)
     }
 
     /// All allocations.
-    pub fn iter(&self) -> impl Iterator<Item = (&Holding, &Allocation)> {
-        self.held.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (&AllocationKey, &Allocation)> {
+        self.allocations.iter()
     }
 
-    /// Moves up to `tokens` from one allocation to another.
-    pub fn move_tokens(&mut self, from: &Holding, to: &Holding, tokens: u64) {
-        let available = self.held.get(from).map_or(0, |held| held.tokens);
+    /// Moves up to `tokens` from one allocation to another, if both exist.
+    pub fn move_tokens(&mut self, from: &AllocationKey, to: &AllocationKey, tokens: u64) {
+        let available = self
+            .allocations
+            .get(from)
+            .map_or(0, |allocation| allocation.tokens);
         let moved = available.min(tokens);
-        if self.held.contains_key(to) {
-            if let Some(held) = self.held.get_mut(from) {
-                held.tokens -= moved;
+        if self.allocations.contains_key(to) {
+            if let Some(allocation) = self.allocations.get_mut(from) {
+                allocation.tokens -= moved;
             }
-            if let Some(held) = self.held.get_mut(to) {
-                held.tokens += moved;
+            if let Some(allocation) = self.allocations.get_mut(to) {
+                allocation.tokens += moved;
             }
         }
     }
 
-    /// What an owner answers for.
-    pub fn owned_by(&self, owner: Owner) -> Vec<Holding> {
-        let owned = self.held.iter().filter(|(_, held)| held.owner == owner);
-        owned.map(|(holding, _)| holding.clone()).collect()
+    /// Keys of the allocations of an owner.
+    pub fn owned_by(&self, owner: Owner) -> Vec<AllocationKey> {
+        let owned = self
+            .allocations
+            .iter()
+            .filter(|(_, allocation)| allocation.owner == owner);
+        owned.map(|(key, _)| key.clone()).collect()
     }
 
-    /// Memory that reservations hold, and when the first of them ends.
+    /// Sum of the span reservations in tokens, and the earliest expiry among them.
     pub fn reserved(&self) -> (u64, Option<u64>) {
-        let spans = |(holding, allocation): (&Holding, &Allocation)| match holding {
-            Holding::Span(_) => Some(*allocation),
+        let spans = |(key, allocation): (&AllocationKey, &Allocation)| match key {
+            AllocationKey::Span(_) => Some(*allocation),
             _ => None,
         };
-        let tokens = self.held.iter().filter_map(spans).map(|a| a.tokens).sum();
+        let tokens = self
+            .allocations
+            .iter()
+            .filter_map(spans)
+            .map(|a| a.tokens)
+            .sum();
         let first_ms = self
-            .held
+            .allocations
             .iter()
             .filter_map(spans)
             .map(|a| a.expires_ms)
--- a/crates/mgs-ledger/src/queue.rs
+++ b/crates/mgs-ledger/src/queue.rs
@@ -1,10 +1,10 @@
-//! The local order of work: priority with ageing, then urgency, then fairness between
+//! Queue of waiting requests, ordered by priority with ageing, then urgency, then fairness between
 //! organisations.
 //!
-//! A request's level starts at its priority and falls to 0 in step with the share of its allotted
-//! time that is left, so that low priority gets its turn before its time is over. Within a level,
-//! requests that would miss their deadline unless started soon go first, the earliest deadline
-//! ahead. The others follow start-time fair queueing by token cost and weight.
+//! The level of a request starts at its priority and falls to 0 in proportion to the remaining
+//! share of its time budget, so that requests of low priority aren't starved. Level 0 is served
+//! first. Within a level, requests close to their deadline go first, in order of deadline. The
+//! others follow start-time fair queueing by token cost and weight.
 
 use std::collections::BTreeMap;
 
@@ -14,28 +14,28 @@
 use crate::job::OrganisationKey;
 use crate::job::Sender;
 
-/// A token's cost to an organisation of weight 1.
+/// Cost of one prefill token in virtual time for an organisation of weight 1.
 const COST_SCALE: u64 = 1_000;
 
-/// Prompt tokens that cost as much as one generated token.
-const GENERATED_COST: u64 = 8;
+/// Cost of one generated token, in prefill tokens.
+const GENERATED_TOKEN_COST: u64 = 8;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Waiting {
     /// The request.
     pub job: Job,
     /// When it arrived.
     pub arrived_ms: u64,
-    /// When its allotted time ends.
+    /// When its time budget ends.
     pub deadline_ms: u64,
-    /// Starts that went past it because it didn't fit.
+    /// Number of starts that bypassed it because it didn't fit into free memory.
     pub bypassed: u32,
     start_tag: u64,
 }
 
 impl Waiting {
-    /// A request that arrived now, outside any queue.
+    /// Creates an entry for a request that arrived now, without a place in the fair order.
     pub(crate) fn new(now_ms: u64, job: Job) -> Self {
         Self {
             job,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Its level now: its priority, less what ageing has taken off.
+    /// Its current level: its priority, reduced by ageing.
     pub fn level(&self, now_ms: u64) -> u32 {
         let allotted = self.deadline_ms.saturating_sub(self.arrived_ms).max(1);
         let left = self.deadline_ms.saturating_sub(now_ms).min(allotted);
@@ -55,7 +55,7 @@
     }
 }
 
-/// The requests that wait.
+/// The waiting requests.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Queue {
     waiting: Vec<Waiting>,
@@ -70,12 +70,12 @@
     /// use mgs_ledger::queue::Queue;
     ///
     /// let queue = Queue::default();
-    /// assert!(queue.order(0, 500).is_empty());
+    /// assert!(queue.start_order(0, 500).is_empty());
     /// ```
     pub fn push(&mut self, now_ms: u64, job: Job) {
         let finished = self.finish_tags.get(&job.organisation).copied();
         let start_tag = finished.unwrap_or(0).max(self.virtual_time);
-        let generated = job.max_tokens.saturating_mul(GENERATED_COST);
+        let generated = job.max_tokens.saturating_mul(GENERATED_TOKEN_COST);
         let cost = job.prefill_tokens().saturating_add(generated);
         let cost = cost.saturating_mul(COST_SCALE) / u64::from(job.weight.max(1));
         self.finish_tags
@@ -86,10 +86,10 @@
         });
     }
 
-    /// Takes a request out; it gets no further turn.
+    /// Removes a request without starting it.
     pub fn remove(&mut self, id: RequestId) -> Option<Waiting> {
-        let at = self.waiting.iter().position(|w| w.job.id == id)?;
-        let removed = self.waiting.swap_remove(at);
+        let index = self.waiting.iter().position(|w| w.job.id == id)?;
+        let removed = self.waiting.swap_remove(index);
         if self.waiting.is_empty() {
             self.finish_tags.clear();
             self.virtual_time = 0;
@@ -97,10 +97,11 @@
         Some(removed)
     }
 
-    /// Takes a request out because it starts, past the given ones that didn't fit.
+    /// Removes a request that starts, and counts the start for the `bypassed` requests, which
+    /// precede it but didn't fit.
     pub fn start(&mut self, id: RequestId, bypassed: &[RequestId]) -> Option<Waiting> {
-        let at = self.waiting.iter().position(|w| w.job.id == id)?;
-        self.virtual_time = self.virtual_time.max(self.waiting[at].start_tag);
+        let index = self.waiting.iter().position(|w| w.job.id == id)?;
+        self.virtual_time = self.virtual_time.max(self.waiting[index].start_tag);
         for waiting in &mut self.waiting {
             if bypassed.contains(&waiting.job.id) {
                 waiting.bypassed += 1;
@@ -111,21 +112,21 @@
         self.remove(id)
     }
 
-    /// Puts a request back that was proved not to have started.
-    pub fn put_back(&mut self, waiting: Waiting) {
+    /// Puts back a request that is proved not to have started, with its place in the fair order.
+    pub fn requeue(&mut self, waiting: Waiting) {
         self.waiting.push(waiting);
     }
 
-    /// Another gateway, or another session, now owns a request.
+    /// Sets the gateway session that owns a request.
     pub(crate) fn set_sender(&mut self, id: RequestId, sender: &Sender) {
         for waiting in self.waiting.iter_mut().filter(|w| w.job.id == id) {
             waiting.job.sender = *sender;
         }
     }
 
-    /// Requests in the order in which they should start; `urgent_ms` is how close to its deadline
-    /// a request goes ahead of its level.
-    pub fn order(&self, now_ms: u64, urgent_ms: u64) -> Vec<Waiting> {
+    /// Returns the requests in the order in which they should start. A request with at most
+    /// `urgent_ms` left to its deadline precedes the others of its level.
+    pub fn start_order(&self, now_ms: u64, urgent_ms: u64) -> Vec<Waiting> {
         let mut order = self.waiting.clone();
         order.sort_by_key(|waiting| {
             let urgent = waiting.deadline_ms <= now_ms.saturating_add(urgent_ms);
@@ -146,7 +147,7 @@
         order
     }
 
-    /// All that wait, in no order.
+    /// Iterates over the waiting requests, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
         self.waiting.iter()
     }
@@ -156,12 +157,12 @@
         self.waiting.iter().any(|waiting| waiting.job.id == id)
     }
 
-    /// Count of requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/crates/mgs-ledger/src/rate.rs
+++ b/crates/mgs-ledger/src/rate.rs
@@ -1,20 +1,20 @@
 //! Measured rates of the engine, and predictions made from them.
 //!
-//! Sums are kept in whole numbers and decay with each sample, so that the rate is a weighted mean
-//! of the latest samples.
+//! Sums of tokens (or steps) and time decay with each sample, so that their quotient is a weighted
+//! mean of the latest samples. They are integers, so that the state can be compared and hashed.
 
-/// A sample's weight falls by 1 part in this many with each later sample.
-const DECAY: u64 = 8;
+/// The weight of a sample falls by one part in this many with each later sample.
+const DECAY_DIVISOR: u64 = 8;
 
 const US_PER_MS: u64 = 1_000;
 const US_PER_S: u64 = 1_000_000;
 
-/// Settings of the rates.
+/// Initial rates.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// Prompt tokens per second taken for granted until measured.
+    /// Prefill rate in tokens per second, used until measured.
     pub prefill_tokens_per_s: u64,
-    /// Time of one decoding step taken for granted until measured, in microseconds.
+    /// Time of one decoding step in microseconds, used until measured.
     pub decode_step_us: u64,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Rates of one engine.
+/// Measured rates of one engine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Rates {
     options: Options,
@@ -38,7 +38,7 @@
 }
 
 impl Rates {
-    /// Rates that aren't measured yet.
+    /// Creates rates without a sample.
     ///
     /// ```
     /// use mgs_ledger::rate::Options;
@@ -46,7 +46,7 @@
     ///
     /// let mut rates = Rates::new(Options { prefill_tokens_per_s: 1_000, ..Options::default() });
     /// assert_eq!(rates.prefill_ms(500), 500);
-    /// rates.prefilled(4_000, 1_000);
+    /// rates.record_prefill(4_000, 1_000);
     /// assert_eq!(rates.prefill_ms(500), 125);
     /// ```
     pub fn new(options: Options) -> Self {
@@ -59,23 +59,23 @@
         }
     }
 
-    /// The engine processed prompt tokens within a busy time.
-    pub fn prefilled(&mut self, tokens: u64, busy_ms: u64) {
+    /// Records that the engine processed prompt tokens during `busy_ms`.
+    pub fn record_prefill(&mut self, tokens: u64, busy_ms: u64) {
         self.prefill_tokens += tokens;
         self.prefill_us += busy_ms * US_PER_MS;
-        self.prefill_tokens -= self.prefill_tokens / DECAY;
-        self.prefill_us -= self.prefill_us / DECAY;
+        self.prefill_tokens -= self.prefill_tokens / DECAY_DIVISOR;
+        self.prefill_us -= self.prefill_us / DECAY_DIVISOR;
     }
 
-    /// A stream took this long for its steps after the first token.
-    pub fn decoded(&mut self, steps: u64, took_ms: u64) {
+    /// Records that a stream took `took_ms` for its decoding steps after the first token.
+    pub fn record_decode(&mut self, steps: u64, took_ms: u64) {
         self.decode_steps += steps;
         self.decode_us += took_ms * US_PER_MS;
-        self.decode_steps -= self.decode_steps / DECAY;
-        self.decode_us -= self.decode_us / DECAY;
+        self.decode_steps -= self.decode_steps / DECAY_DIVISOR;
+        self.decode_us -= self.decode_us / DECAY_DIVISOR;
     }
 
-    /// Prompt tokens per second.
+    /// Prefill rate, in tokens per second.
     pub fn prefill_tokens_per_s(&self) -> f64 {
         if self.prefill_us == 0 || self.prefill_tokens == 0 {
             return self.options.prefill_tokens_per_s as f64;
--- a/crates/mgs-ledger/src/reconcile.rs
+++ b/crates/mgs-ledger/src/reconcile.rs
@@ -1,4 +1,5 @@
-//! The engine's own lists against the ledger, and the engine's comings and goings.
+//! Comparison of the engine's lists of streams and KV with the ledger, and handling of engine
+//! restarts and outages.
 
 use std::collections::BTreeSet;
 
@@ -8,23 +9,23 @@
 use crate::job::Job;
 use crate::job::OrganisationKey;
 use crate::job::Sender;
+use crate::ledger::InFlight;
 use crate::ledger::Ledger;
-use crate::ledger::Live;
-use crate::ledger::Resumed;
+use crate::ledger::ResumeResult;
 use crate::memory::Allocation;
-use crate::memory::Holding;
+use crate::memory::AllocationKey;
 use crate::memory::Owner;
 use crate::queue::Waiting;
-use crate::record::Fate;
+use crate::record::FinalState;
 
-/// Something that the engine lists.
+/// A stream or KV that the engine lists.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Listed {
-    /// Its name.
+pub struct EngineEntry {
+    /// Name at the engine.
     pub name: String,
-    /// Memory that it holds.
+    /// Memory that it holds, in tokens.
     pub tokens: u64,
-    /// Whether it is a stream that has ended, whose answer the engine still keeps.
+    /// Whether it is a finished stream whose answer the engine still retains.
     pub finished: bool,
 }
 
@@ -41,16 +42,17 @@
     format!("{id}-{attempt}")
 }
 
-/// The request and attempt that a stream's name stands for.
+/// Parses the name of a stream into its request and attempt; `None` if the name has another form.
 pub fn parse_stream_name(name: &str) -> Option<(RequestId, u32)> {
     let (id, attempt) = name.split_once('-')?;
     Some((id.parse().ok()?, attempt.parse().ok()?))
 }
 
 impl Ledger {
-    /// The endpoint answered. A new boot number says that it lost all it held.
+    /// Handles an answer of the endpoint. A new boot number means that the engine restarted and
+    /// lost all its state. A capacity or stream limit of 0 is ignored.
     pub fn engine_up(&mut self, now_ms: u64, boot: u64, capacity_tokens: u64, streams_max: usize) {
-        self.closed.down = false;
+        self.unavailable.down = false;
         if capacity_tokens > 0 {
             self.memory.set_capacity(capacity_tokens);
         }
@@ -58,139 +60,151 @@
             self.streams_max = streams_max;
         }
         if self.boot != 0 && self.boot != boot {
-            self.forget_ownerless();
+            self.remove_unowned();
         }
         self.boot = boot;
         self.schedule(now_ms);
     }
 
-    /// The endpoint doesn't answer: nothing new is taken, and what waits is refused.
+    /// Handles an endpoint that doesn't answer: new and waiting requests are refused.
     pub fn engine_down(&mut self, now_ms: u64) {
-        self.closed.down = true;
+        self.unavailable.down = true;
         self.refuse_all_waiting(now_ms, RefusalReason::EndpointDown);
     }
 
-    /// A restarted engine holds nothing of what nobody here waits for.
-    fn forget_ownerless(&mut self) {
-        let gone: Vec<Holding> = self
+    /// Removes the allocations lost in an engine restart that no in-flight request or reservation
+    /// accounts for.
+    fn remove_unowned(&mut self) {
+        let gone: Vec<AllocationKey> = self
             .memory
             .iter()
-            .filter(|(holding, _)| self.is_ownerless(holding))
-            .map(|(holding, _)| holding.clone())
+            .filter(|(key, _)| self.is_unowned(key))
+            .map(|(key, _)| key.clone())
             .collect();
-        for holding in gone {
-            self.memory.free(&holding);
+        for key in gone {
+            self.memory.free(&key);
         }
     }
 
-    fn is_ownerless(&self, holding: &Holding) -> bool {
-        match holding {
-            Holding::Stream { id, .. } => !self.live.contains_key(id),
-            Holding::Foreign(_) | Holding::Kv(_) => true,
-            Holding::Span(_) => false,
+    fn is_unowned(&self, key: &AllocationKey) -> bool {
+        match key {
+            AllocationKey::Stream { id, .. } => !self.in_flight.contains_key(id),
+            AllocationKey::UnownedStream(_) | AllocationKey::Kv(_) => true,
+            AllocationKey::Span(_) => false,
         }
     }
 
     /// Compares the engine's lists of streams and of KV with the ledger.
-    pub fn reconcile(&mut self, now_ms: u64, streams: &[Listed], kv: &[Listed]) {
+    pub fn reconcile(&mut self, now_ms: u64, streams: &[EngineEntry], kv: &[EngineEntry]) {
         for stream in streams {
             self.reconcile_stream(now_ms, stream);
         }
         for kv in kv {
-            let holding = Holding::Kv(kv.name.clone());
-            self.note_ownerless(now_ms, holding, kv.tokens, false);
+            let key = AllocationKey::Kv(kv.name.clone());
+            self.insert_unowned(now_ms, key, kv.tokens, false);
         }
         let listed: BTreeSet<&str> = streams.iter().map(|s| s.name.as_str()).collect();
         let listed_kv: BTreeSet<&str> = kv.iter().map(|kv| kv.name.as_str()).collect();
-        let gone: Vec<Holding> = self
+        let gone: Vec<AllocationKey> = self
             .memory
             .iter()
-            .filter(|(holding, held)| match holding {
-                Holding::Foreign(name) => !listed.contains(name.as_str()),
-                // What is wanted may be on its way to the engine.
-                Holding::Kv(name) => {
-                    let is_wanted = held.owner != Owner::Nobody && held.freeing_ms.is_none();
+            .filter(|(key, allocation)| match key {
+                AllocationKey::UnownedStream(name) => !listed.contains(name.as_str()),
+                // KV in use may not have reached the engine yet.
+                AllocationKey::Kv(name) => {
+                    let is_wanted =
+                        allocation.owner != Owner::Nobody && allocation.next_free_ms.is_none();
                     !is_wanted && !listed_kv.contains(name.as_str())
                 }
                 _ => false,
             })
-            .map(|(holding, _)| holding.clone())
+            .map(|(key, _)| key.clone())
             .collect();
-        for holding in gone {
-            self.memory.free(&holding);
+        for key in gone {
+            self.memory.free(&key);
         }
-        self.drive_freeing(now_ms);
+        self.retry_frees(now_ms);
         self.schedule(now_ms);
     }
 
-    fn reconcile_stream(&mut self, now_ms: u64, stream: &Listed) {
-        let mut over = false;
+    fn reconcile_stream(&mut self, now_ms: u64, stream: &EngineEntry) {
+        let mut request_ended = false;
         if let Some((id, attempt)) = parse_stream_name(&stream.name) {
-            if self.memory.get(&Holding::Stream { id, attempt }).is_some() {
+            if self
+                .memory
+                .get(&AllocationKey::Stream { id, attempt })
+                .is_some()
+            {
                 return;
             }
-            over = self.records.fate(id).is_some() || self.live.contains_key(&id);
+            request_ended =
+                self.records.final_state(id).is_some() || self.in_flight.contains_key(&id);
         }
-        if over && stream.finished {
+        if request_ended && stream.finished {
             return;
         }
-        let holding = Holding::Foreign(stream.name.clone());
-        self.note_ownerless(now_ms, holding, stream.tokens, over);
+        let key = AllocationKey::UnownedStream(stream.name.clone());
+        self.insert_unowned(now_ms, key, stream.tokens, request_ended);
     }
 
-    /// Takes up what nobody here owns, for a while or, if its request is over, to free it.
-    pub(crate) fn note_ownerless(
+    /// Adds an allocation without an owner. It is freed at once if its request has ended, and after
+    /// [`Options::adopt_ms`](crate::ledger::Options::adopt_ms) otherwise.
+    pub(crate) fn insert_unowned(
         &mut self,
         now_ms: u64,
-        holding: Holding,
+        key: AllocationKey,
         tokens: u64,
-        over: bool,
+        request_ended: bool,
     ) {
-        if self.memory.get(&holding).is_none() {
-            let wait_ms = if over { 0 } else { self.options.adopt_ms };
+        if self.memory.get(&key).is_none() {
+            let wait_ms = if request_ended {
+                0
+            } else {
+                self.options.adopt_ms
+            };
             let allocation = Allocation {
                 tokens,
                 expires_ms: now_ms + wait_ms,
                 owner: Owner::Nobody,
-                freeing_ms: None,
+                next_free_ms: None,
             };
-            self.memory.hold(holding.clone(), allocation);
+            self.memory.insert(key.clone(), allocation);
         }
-        if over {
-            self.free_soon(now_ms, &holding);
+        if request_ended {
+            self.schedule_free(now_ms, &key);
         }
     }
 
-    /// The stream of an earlier incarnation that belongs to a request.
-    pub(crate) fn foreign_stream(&self, id: RequestId) -> Option<String> {
+    /// Name of the unowned stream, started by an earlier incarnation, that belongs to a request.
+    pub(crate) fn find_unowned_stream(&self, id: RequestId) -> Option<String> {
         let prefix = format!("{id}-");
-        self.memory.iter().find_map(|(holding, _)| match holding {
-            Holding::Foreign(name) if name.starts_with(&prefix) => Some(name.clone()),
+        self.memory.iter().find_map(|(key, _)| match key {
+            AllocationKey::UnownedStream(name) if name.starts_with(&prefix) => Some(name.clone()),
             _ => None,
         })
     }
 
-    /// Makes a stream of an earlier incarnation a request of this one.
+    /// Adopts the stream of an earlier incarnation as an in-flight request of this one.
     pub(crate) fn adopt(
         &mut self,
         now_ms: u64,
         id: RequestId,
         sender: &Sender,
         budget_ms: u64,
-    ) -> Resumed {
-        let Some(stream) = self.foreign_stream(id) else {
-            return Resumed::Unknown;
+    ) -> ResumeResult {
+        let Some(stream) = self.find_unowned_stream(id) else {
+            return ResumeResult::Unknown;
         };
         let Some((_, attempt)) = parse_stream_name(&stream) else {
-            return Resumed::Unknown;
+            return ResumeResult::Unknown;
         };
-        let holding = Holding::Foreign(stream.clone());
-        match self.memory.get(&holding) {
-            Some(held) if held.freeing_ms.is_none() => {}
-            _ => return Resumed::Dropped,
+        let key = AllocationKey::UnownedStream(stream.clone());
+        match self.memory.get(&key) {
+            Some(allocation) if allocation.next_free_ms.is_none() => {}
+            _ => return ResumeResult::Dropped,
         }
-        let Some(mut allocation) = self.memory.free(&holding) else {
-            return Resumed::Unknown;
+        let Some(mut allocation) = self.memory.free(&key) else {
+            return ResumeResult::Unknown;
         };
         let budget_ms = if budget_ms == 0 {
             self.options.record_keep_ms
@@ -218,20 +232,20 @@
         allocation.expires_ms = waiting.deadline_ms;
         allocation.owner = Owner::Request(id);
         self.memory
-            .hold(Holding::Stream { id, attempt }, allocation);
-        let live = Live {
+            .insert(AllocationKey::Stream { id, attempt }, allocation);
+        let in_flight = InFlight {
             waiting,
             running: true,
             started_ms: now_ms,
             first_token_ms: Some(now_ms),
-            told: false,
+            outcome_reported: false,
         };
-        self.live.insert(id, live);
-        Resumed::Adopt { stream, attempt }
+        self.in_flight.insert(id, in_flight);
+        ResumeResult::Adopt { stream, attempt }
     }
 
-    /// Whether a request is over here, as far as is known.
-    pub fn fate(&self, id: RequestId) -> Option<Fate> {
-        self.records.fate(id)
+    /// Returns the recorded final state of a request.
+    pub fn final_state(&self, id: RequestId) -> Option<FinalState> {
+        self.records.final_state(id)
     }
 }
--- a/crates/mgs-ledger/src/record.rs
+++ b/crates/mgs-ledger/src/record.rs
@@ -1,26 +1,26 @@
-//! What became of requests that are over, and the tombstones of withdrawn ones.
+//! Final states of requests, and tombstones of withdrawn ones.
 //!
-//! Memory is bounded. A tombstone is kept for its whole time; when there is no room for another,
-//! none is promised. The record of a request that ran may be forgotten early, but then its
-//! origin's *floor* rises to its serial, and nothing is claimed of unknown requests at or below a
-//! floor.
+//! Memory is bounded. A tombstone is kept until it expires; when the limit is reached, no further
+//! tombstone is promised. The record of a request that ran may be evicted early. Eviction and
+//! expiry raise the *floor* of the request's origin to its serial, and an unknown request at or
+//! below the floor can't be said not to have started.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
 use mgs_schema::key::RequestId;
 
-/// What is known of a request that is over.
+/// Final state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Fate {
-    /// It ran, in whole or in part, or may have.
+pub enum FinalState {
+    /// It ran, completely or in part, or may have run.
     Ran {
         /// The attempt that ran.
         attempt: u32,
-        /// Bytes of its kept answer; `None` once that is dropped.
+        /// Size of its retained answer, in bytes; `None` once that is dropped.
         answer_bytes: Option<u64>,
     },
-    /// No attempt up to this one started here, and none of them ever will.
+    /// A tombstone: no attempt up to this one has started or will start on this sidecar.
     NeverStarted {
         /// The last such attempt.
         attempt: u32,
@@ -29,18 +29,18 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Record {
-    fate: Fate,
+    final_state: FinalState,
     until_ms: u64,
 }
 
-/// Settings of the records.
+/// Limits of the records.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// Most records of requests that ran.
+    /// Maximum number of records of requests that ran.
     pub ran_max: usize,
-    /// Most tombstones.
+    /// Maximum number of tombstones that are promised.
     pub tombstones_max: usize,
-    /// Most origins with a floor.
+    /// Maximum number of origins with a floor.
     pub floors_max: usize,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Records by request.
+/// Final states by request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Records {
     options: Options,
@@ -62,12 +62,13 @@
     expiry: BTreeSet<(u64, RequestId)>,
     tombstones: usize,
     floors: BTreeMap<u64, u64>,
-    /// Set when a floor had to be dropped: from then on nothing is claimed of unknown requests.
+    /// Set when a floor exceeded the limit and was lost. From then on no unknown request can be
+    /// said not to have started.
     floors_lost: bool,
 }
 
 impl Records {
-    /// No records.
+    /// Creates an empty set of records.
     ///
     /// ```
     /// use mgs_ledger::record::Options;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Count of records and tombstones.
+    /// Number of records, tombstones included.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -93,49 +94,56 @@
         self.records.is_empty()
     }
 
-    /// What is known of a request.
-    pub fn fate(&self, id: RequestId) -> Option<Fate> {
-        self.records.get(&id).map(|record| record.fate)
+    /// Returns the final state of a request, if recorded.
+    pub fn final_state(&self, id: RequestId) -> Option<FinalState> {
+        self.records.get(&id).map(|record| record.final_state)
     }
 
-    /// Whether an unknown request may be said never to have started here.
-    pub fn may_vouch_for(&self, id: RequestId) -> bool {
+    /// Whether a request without a record is certain not to have started on this sidecar.
+    pub fn can_rule_out_start(&self, id: RequestId) -> bool {
         let floor = self.floors.get(&id.origin);
         !self.floors_lost && floor.is_none_or(|floor| id.serial > *floor)
     }
 
-    /// Whether one more tombstone fits.
+    /// Whether there is room for one more tombstone.
     pub fn has_tombstone_room(&self) -> bool {
         self.tombstones < self.options.tombstones_max
     }
 
-    /// Sets what is known of a request, at least until `until_ms`.
-    pub fn set(&mut self, id: RequestId, fate: Fate, until_ms: u64) {
+    /// Records the final state of a request until `until_ms`, or until the expiry of its earlier
+    /// record if that is later.
+    pub fn set(&mut self, id: RequestId, final_state: FinalState, until_ms: u64) {
         let earlier = self.remove(id);
         let until_ms = earlier.map_or(until_ms, |earlier| earlier.until_ms.max(until_ms));
-        if matches!(fate, Fate::NeverStarted { .. }) {
+        if matches!(final_state, FinalState::NeverStarted { .. }) {
             self.tombstones += 1;
         }
-        self.records.insert(id, Record { fate, until_ms });
+        self.records.insert(
+            id,
+            Record {
+                final_state,
+                until_ms,
+            },
+        );
         self.expiry.insert((until_ms, id));
-        self.bound();
+        self.enforce_ran_max();
     }
 
-    /// Notes that the answer of a request is no longer kept.
+    /// Records that the answer of a request is no longer retained.
     pub fn drop_answer(&mut self, id: RequestId) {
         if let Some(record) = self.records.get_mut(&id) {
-            if let Fate::Ran { answer_bytes, .. } = &mut record.fate {
+            if let FinalState::Ran { answer_bytes, .. } = &mut record.final_state {
                 *answer_bytes = None;
             }
         }
     }
 
-    /// Forgets a request, which then may be dispatched again.
+    /// Removes the record of a request that is dispatched again.
     pub fn forget(&mut self, id: RequestId) {
         self.remove(id);
     }
 
-    /// Forgets what has expired, and returns those whose answer was still kept.
+    /// Removes expired records, and returns the requests whose answer was still retained.
     pub fn expire(&mut self, now_ms: u64) -> Vec<RequestId> {
         let mut with_answer = Vec::new();
         while let Some(&(until_ms, id)) = self.expiry.first() {
@@ -149,10 +157,10 @@
         with_answer
     }
 
-    /// Forgets one record; whether its answer was still kept.
+    /// Removes one record, and returns whether its answer was still retained.
     fn expire_one(&mut self, id: RequestId) -> bool {
-        match self.remove(id).map(|record| record.fate) {
-            Some(Fate::Ran { answer_bytes, .. }) => {
+        match self.remove(id).map(|record| record.final_state) {
+            Some(FinalState::Ran { answer_bytes, .. }) => {
                 self.raise_floor(id);
                 answer_bytes.is_some()
             }
@@ -163,7 +171,7 @@
     fn remove(&mut self, id: RequestId) -> Option<Record> {
         let record = self.records.remove(&id)?;
         self.expiry.remove(&(record.until_ms, id));
-        if matches!(record.fate, Fate::NeverStarted { .. }) {
+        if matches!(record.final_state, FinalState::NeverStarted { .. }) {
             self.tombstones -= 1;
         }
         Some(record)
@@ -179,15 +187,15 @@
         *floor = id.serial.max(*floor);
     }
 
-    /// Forgets the records of the oldest requests that ran while there are too many. Those whose
-    /// answer is still kept are few and stay.
-    fn bound(&mut self) {
+    /// Evicts records of requests that ran, the first to expire first, while they exceed
+    /// [`Options::ran_max`]. Those with a retained answer are few and are not evicted.
+    fn enforce_ran_max(&mut self) {
         while self.records.len() - self.tombstones > self.options.ran_max {
             let oldest = self.expiry.iter().map(|(_, id)| *id).find(|id| {
-                let fate = self.records.get(id).map(|record| record.fate);
+                let final_state = self.records.get(id).map(|record| record.final_state);
                 matches!(
-                    fate,
-                    Some(Fate::Ran {
+                    final_state,
+                    Some(FinalState::Ran {
                         answer_bytes: None,
                         ..
                     })
--- a/crates/mgs-ledger/src/schedule.rs
+++ b/crates/mgs-ledger/src/schedule.rs
@@ -1,56 +1,56 @@
-//! What starts next, what is refused early, and the predictions for both.
+//! Choice of the next request to start, early refusal, and the predictions behind both.
 
 use mgs_schema::key::RequestId;
 use mgs_schema::wire::RefusalReason;
 
 use crate::action::Action;
 use crate::job::Job;
+use crate::ledger::InFlight;
 use crate::ledger::Ledger;
-use crate::ledger::Live;
 use crate::memory::Allocation;
-use crate::memory::Holding;
+use crate::memory::AllocationKey;
 use crate::memory::Owner;
 use crate::queue::Waiting;
-use crate::record::Fate;
+use crate::record::FinalState;
 
-/// Shortest and longest time after which a refused caller is asked to come back.
+/// Minimum and maximum retry delay given to a refused caller.
 const RETRY_AFTER_MIN_MS: u64 = 50;
 const RETRY_AFTER_MAX_MS: u64 = 30_000;
 
-/// How long the endpoint is given to come back before callers ask again, in milliseconds.
+/// Retry delay given to callers while the endpoint is down or the model is being unloaded, in
+/// milliseconds.
 const DOWN_RETRY_MS: u64 = 1_000;
 
-/// Load of the endpoint as the ledger knows it at once.
+/// Load of the endpoint, known to the ledger without asking the engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: usize,
-    /// Requests handed to the endpoint.
+    /// Number of requests handed to the endpoint.
     pub running: usize,
-    /// Prompt tokens accepted and not yet processed.
+    /// Prefill tokens of waiting and in-flight requests that aren't processed yet.
     pub prefill_tokens: u64,
-    /// The part of them that belongs to short prompts.
+    /// The part of `prefill_tokens` that belongs to short prompts.
     pub short_prefill_tokens: u64,
-    /// Engine memory in use or reserved.
+    /// Engine memory in use or reserved, in tokens.
     pub kv_used_tokens: u64,
-    /// Engine memory in all; 0 if unknown.
+    /// Total engine memory in tokens; 0 if unknown.
     pub kv_capacity_tokens: u64,
-    /// Rate of prompt processing.
+    /// Prefill rate, in tokens per second.
     pub prefill_tokens_per_s: f64,
     /// Time of one decoding step, in milliseconds.
     pub decode_step_ms: f64,
 }
 
 impl Ledger {
-    /// What a request would meet now: the predicted time to its first token, in milliseconds, and
-    /// whether it would be taken.
+    /// Predicts the time to the first token of a request, in milliseconds, and whether it would be
+    /// admitted now.
     pub fn quote(&self, now_ms: u64, job: &Job) -> (u64, bool) {
-        let refusal = self.room_refusal(now_ms, job);
+        let refusal = self.capacity_refusal(now_ms, job);
         (self.first_token_ms(now_ms, job), refusal.is_none())
     }
 
-    /// Requests that wait, requests at the endpoint, and the prompt tokens of both that aren't
-    /// processed, in all and of prompts of up to `short_tokens`.
+    /// Returns the current load; prompts of up to `short_tokens` count as short.
     pub fn load(&self, short_tokens: u64) -> Load {
         let waiting = self.queue.iter().map(|waiting| &waiting.job);
         let unprocessed: Vec<&Job> = waiting.chain(self.prefilling()).collect();
@@ -59,7 +59,7 @@
             .filter(|job| job.prompt_tokens <= short_tokens);
         Load {
             waiting: self.queue.len(),
-            running: self.live.len(),
+            running: self.in_flight.len(),
             prefill_tokens: unprocessed.iter().map(|job| job.prefill_tokens()).sum(),
             short_prefill_tokens: short.map(|job| job.prefill_tokens()).sum(),
             kv_used_tokens: self.memory.used_tokens(),
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Why there is no room for the request, and when to come back.
-    pub(crate) fn room_refusal(&self, now_ms: u64, job: &Job) -> Option<(RefusalReason, u64)> {
-        if self.closed.leaving {
+    /// Why the request can't be admitted at the current load, and the retry delay in milliseconds.
+    pub(crate) fn capacity_refusal(&self, now_ms: u64, job: &Job) -> Option<(RefusalReason, u64)> {
+        if self.unavailable.leaving {
             return Some((RefusalReason::Leaving, 0));
         }
-        if self.closed.down {
+        if self.unavailable.down {
             return Some((RefusalReason::EndpointDown, DOWN_RETRY_MS));
         }
         if job.unloading {
@@ -84,7 +84,7 @@
             return Some(refusal);
         }
         if self.queue.len() >= self.options.waiting_max {
-            return Some((RefusalReason::Busy, self.place_free_ms()));
+            return Some((RefusalReason::Busy, self.queue_wait_ms()));
         }
         let first_token_ms = self.first_token_ms(now_ms, job);
         if first_token_ms > job.budget_ms {
@@ -96,8 +96,8 @@
 
     fn memory_refusal(&self, now_ms: u64, job: &Job) -> Option<(RefusalReason, u64)> {
         if job.span != 0 {
-            let held = self.memory.get(&Holding::Span(job.span)).is_some();
-            return (!held).then_some((RefusalReason::Memory, 0));
+            let is_reserved = self.memory.get(&AllocationKey::Span(job.span)).is_some();
+            return (!is_reserved).then_some((RefusalReason::Memory, 0));
         }
         let capacity = self.memory.capacity_tokens()?;
         let need = job.need_tokens();
@@ -112,24 +112,24 @@
         None
     }
 
-    /// Predicted time until one of the waiting requests starts, in milliseconds.
-    fn place_free_ms(&self) -> u64 {
+    /// Predicted time until a waiting request starts and leaves the queue, in milliseconds.
+    fn queue_wait_ms(&self) -> u64 {
         let tokens: u64 = self.queue.iter().map(|w| w.job.prefill_tokens()).sum();
         let waiting = self.queue.len().max(1) as u64;
-        clamp_retry(self.rates.prefill_ms(tokens / waiting) + self.slot_ms())
+        clamp_retry(self.rates.prefill_ms(tokens / waiting) + self.slot_interval_ms())
     }
 
-    /// Most requests that run at once.
+    /// Maximum number of concurrent requests at the endpoint.
     pub(crate) fn slots(&self) -> usize {
         self.options.running_max.min(self.streams_max)
     }
 
-    /// Predicted time between two ends of requests while all slots are taken, in milliseconds.
-    fn slot_ms(&self) -> u64 {
+    /// Predicted interval at which slots become free while all are taken, in milliseconds.
+    fn slot_interval_ms(&self) -> u64 {
         self.mean_run_ms / self.slots().max(1) as u64
     }
 
-    /// Predicted time to the first token of a request that came now, in milliseconds.
+    /// Predicted time to the first token of a request that arrives now, in milliseconds.
     pub fn first_token_ms(&self, now_ms: u64, job: &Job) -> u64 {
         let ahead = |waiting: &&Waiting| waiting.level(now_ms) <= job.priority;
         let waiting_tokens: u64 = self
@@ -140,34 +140,36 @@
             .sum();
         let tokens = self.prefilling_tokens() + waiting_tokens + job.prefill_tokens();
         let prefill_ms = self.rates.prefill_ms(tokens);
-        if self.live.len() < self.slots() {
+        if self.in_flight.len() < self.slots() {
             return prefill_ms;
         }
         let turns = self.queue.iter().filter(ahead).count() as u64 + 1;
-        prefill_ms.max(turns * self.slot_ms())
+        prefill_ms.max(turns * self.slot_interval_ms())
     }
 
-    /// Prompt tokens handed to the endpoint and not yet processed.
+    /// Prefill tokens handed to the endpoint and not yet processed.
     pub(crate) fn prefilling_tokens(&self) -> u64 {
         self.prefilling().map(Job::prefill_tokens).sum()
     }
 
     fn prefilling(&self) -> impl Iterator<Item = &Job> {
-        let lives = self.live.values();
-        lives.filter(|l| l.first_token_ms.is_none()).map(Live::job)
+        let requests = self.in_flight.values();
+        requests
+            .filter(|l| l.first_token_ms.is_none())
+            .map(InFlight::job)
     }
 
-    /// Engine memory in use or reserved.
+    /// Engine memory in use or reserved, in tokens.
     pub fn kv_used_tokens(&self) -> u64 {
         self.memory.used_tokens()
     }
 
-    /// Starts what may start.
+    /// Starts waiting requests while slots, memory and the long prompt limit allow.
     pub(crate) fn schedule(&mut self, now_ms: u64) {
-        if self.closed.down || now_ms < self.full_until_ms {
+        if self.unavailable.down || now_ms < self.starts_paused_until_ms {
             return;
         }
-        while self.live.len() < self.slots() {
+        while self.in_flight.len() < self.slots() {
             let Some((next, bypassed)) = self.choose(now_ms) else {
                 return;
             };
@@ -175,10 +177,10 @@
         }
     }
 
-    /// The next request to start, and those that it goes past because they don't fit.
+    /// Returns the next request to start, and those that it bypasses because they don't fit.
     fn choose(&self, now_ms: u64) -> Option<(RequestId, Vec<RequestId>)> {
         let mut bypassed = Vec::new();
-        for waiting in self.queue.order(now_ms, self.options.urgent_ms) {
+        for waiting in self.queue.start_order(now_ms, self.options.urgent_ms) {
             if waiting.deadline_ms <= now_ms || !self.long_prefill_allows(&waiting.job) {
                 continue;
             }
@@ -201,7 +203,7 @@
         job.prefill_tokens() >= self.options.long_prompt_tokens
     }
 
-    /// Whether a long prompt may be processed beside those that are.
+    /// Whether the limit on concurrent long prompts allows this request.
     fn long_prefill_allows(&self, job: &Job) -> bool {
         if !self.is_long(job) {
             return true;
@@ -217,9 +219,9 @@
             unreachable!("only a waiting request is chosen");
         };
         let job = waiting.job;
-        let span = self.memory.free(&Holding::Span(job.span));
+        let span = self.memory.free(&AllocationKey::Span(job.span));
         let tokens = span.map_or(job.need_tokens(), |span| span.tokens);
-        let holding = Holding::Stream {
+        let key = AllocationKey::Stream {
             id,
             attempt: job.attempt,
         };
@@ -227,28 +229,28 @@
             tokens,
             expires_ms: waiting.deadline_ms,
             owner: Owner::Request(id),
-            freeing_ms: None,
+            next_free_ms: None,
         };
-        self.memory.hold(holding, allocation);
+        self.memory.insert(key, allocation);
         if job.span != 0 {
-            self.hand_over_span(job.span, id);
+            self.transfer_span_kv(job.span, id);
         }
         if self.prefilling().next().is_none() {
-            self.prefill_from_ms = now_ms;
+            self.prefill_sample_start_ms = now_ms;
         }
-        let live = Live {
+        let in_flight = InFlight {
             waiting,
             running: false,
             started_ms: now_ms,
             first_token_ms: None,
-            told: false,
+            outcome_reported: false,
         };
-        self.live.insert(id, live);
+        self.in_flight.insert(id, in_flight);
         self.actions.push(Action::Start(id));
     }
 
-    /// Refuses a waiting request, which then never starts under its attempt and those up to
-    /// `attempt`.
+    /// Refuses a waiting request, and records that neither its attempt nor any up to `attempt` will
+    /// start.
     pub(crate) fn refuse_waiting(
         &mut self,
         id: RequestId,
@@ -261,10 +263,10 @@
         };
         let attempt = attempt.max(waiting.job.attempt);
         self.records
-            .set(id, Fate::NeverStarted { attempt }, until_ms);
+            .set(id, FinalState::NeverStarted { attempt }, until_ms);
         let retry_after_ms = match reason {
             RefusalReason::EndpointDown => DOWN_RETRY_MS,
-            RefusalReason::Deadline => self.place_free_ms(),
+            RefusalReason::Deadline => self.queue_wait_ms(),
             _ => 0,
         };
         self.actions.push(Action::Refuse {
@@ -274,7 +276,7 @@
         });
     }
 
-    /// Refuses all that waits.
+    /// Refuses all waiting requests.
     pub(crate) fn refuse_all_waiting(&mut self, now_ms: u64, reason: RefusalReason) {
         let all: Vec<(RequestId, u32)> = self
             .queue
--- a/crates/mgs-ledger/tests/cache.rs
+++ b/crates/mgs-ledger/tests/cache.rs
@@ -1,4 +1,4 @@
-//! Late and gappy cache events.
+//! The cache index with late, repeated and missing events.
 
 use mgs_ledger::cache::Cache;
 use mgs_ledger::cache::Change;
--- a/crates/mgs-ledger/tests/explore.rs
+++ b/crates/mgs-ledger/tests/explore.rs
@@ -1,17 +1,17 @@
-//! Every interleaving of a few events, with equal states visited once.
+//! Exhaustive exploration of all interleavings of a few events; equal states are visited once.
 
 mod model;
 
 use std::collections::HashSet;
 
-use mgs_ledger::finish::NotStarted;
-use mgs_ledger::plant::Plant;
+use mgs_ledger::execution::NotStarted;
+use mgs_ledger::fault::InjectedFault;
 use model::Event;
-use model::World;
+use model::Model;
 use rstest::rstest;
 
-/// One request, with each thing that can happen to it.
-const ALONE: &[Event] = &[
+/// One request, with every event that can affect it.
+const SINGLE_REQUEST: &[Event] = &[
     Event::Dispatch(1, 1),
     Event::Dispatch(1, 2),
     Event::Withdraw(1),
@@ -21,10 +21,10 @@
     Event::Started(1),
     Event::NotStarted(1, NotStarted::Full),
     Event::NotStarted(1, NotStarted::Unreachable),
-    Event::StartBroke(1, true),
-    Event::StartBroke(1, false),
+    Event::StartConnectionLost(1, true),
+    Event::StartConnectionLost(1, false),
     Event::LateStart(1),
-    Event::PathGivenUp(1),
+    Event::StreamAbandoned(1),
     Event::Finished(1),
     Event::CancelsArrive,
     Event::Listed,
@@ -34,8 +34,8 @@
     Event::WaitDeadline,
 ];
 
-/// Two requests, of which only one fits into the engine at a time.
-const BESIDE: &[Event] = &[
+/// Two requests, of which only one at a time fits into the engine's memory.
+const TWO_REQUESTS: &[Event] = &[
     Event::Dispatch(1, 1),
     Event::Dispatch(3, 1),
     Event::Withdraw(3),
@@ -43,15 +43,15 @@
     Event::GatewayLost,
     Event::Started(1),
     Event::Started(3),
-    Event::StartBroke(1, true),
+    Event::StartConnectionLost(1, true),
     Event::Finished(1),
     Event::CancelsArrive,
     Event::Listed,
     Event::WaitLease,
 ];
 
-/// A reservation, its export, and a request that uses it.
-const SPANNING: &[Event] = &[
+/// A span reservation, an export under it, and a request that uses it.
+const RESERVATION: &[Event] = &[
     Event::Reserve,
     Event::Export,
     Event::ExportEnds(true),
@@ -62,7 +62,7 @@
     Event::Import(2),
     Event::Started(2),
     Event::NotStarted(2, NotStarted::Full),
-    Event::StartBroke(2, true),
+    Event::StartConnectionLost(2, true),
     Event::Finished(2),
     Event::GatewayLost,
     Event::CancelsArrive,
@@ -71,21 +71,25 @@
     Event::WaitLease,
 ];
 
-/// States seen, or the events that led to the first violation.
-fn explore(plant: Plant, alphabet: &[Event], depth: usize) -> Result<usize, String> {
+/// Returns the number of states visited, or the first violation with the events that led to it.
+fn explore(
+    injected_fault: InjectedFault,
+    alphabet: &[Event],
+    depth: usize,
+) -> Result<usize, String> {
     let mut seen = HashSet::new();
-    let mut layer = vec![(World::new(plant), Vec::new())];
+    let mut layer = vec![(Model::new(injected_fault), Vec::new())];
     for _ in 0..depth {
         let mut next = Vec::new();
-        for (world, path) in &layer {
-            for event in alphabet.iter().filter(|event| world.can(**event)) {
-                let mut after = world.clone();
+        for (model, path) in &layer {
+            for event in alphabet.iter().filter(|event| model.can(**event)) {
+                let mut after = model.clone();
                 let mut path = path.clone();
                 path.push(*event);
-                let told = |error: String| format!("{error}: {path:?}");
-                after.step(*event).map_err(told)?;
+                let outcome_reported = |error: String| format!("{error}: {path:?}");
+                after.step(*event).map_err(outcome_reported)?;
                 if seen.insert(after.clone()) {
-                    after.clone().settle().map_err(told)?;
+                    after.clone().settle().map_err(outcome_reported)?;
                     next.push((after, path));
                 }
             }
@@ -96,19 +100,23 @@
 }
 
 #[rstest]
-#[case::alone(ALONE, 5)]
-#[case::beside(BESIDE, 6)]
-#[case::spanning(SPANNING, 7)]
+#[case::alone(SINGLE_REQUEST, 5)]
+#[case::beside(TWO_REQUESTS, 6)]
+#[case::spanning(RESERVATION, 7)]
 fn no_interleaving_breaks_an_invariant(#[case] alphabet: &[Event], #[case] depth: usize) {
-    let states = explore(Plant::None, alphabet, depth).unwrap();
+    let states = explore(InjectedFault::None, alphabet, depth).unwrap();
     assert!(states > 10_000, "only {states} states");
 }
 
 #[rstest]
-#[case::dropped_tombstone(Plant::DroppedTombstone, ALONE, "said not to")]
-#[case::forgotten_cancel(Plant::ForgottenCancel, ALONE, "still holds")]
-#[case::forgotten_free(Plant::ForgottenCancel, SPANNING, "still holds")]
-fn a_planted_fault_is_found(#[case] plant: Plant, #[case] alphabet: &[Event], #[case] says: &str) {
-    let found = explore(plant, alphabet, 5).unwrap_err();
+#[case::dropped_tombstone(InjectedFault::DroppedTombstone, SINGLE_REQUEST, "said not to")]
+#[case::forgotten_cancel(InjectedFault::ForgottenCancel, SINGLE_REQUEST, "still holds")]
+#[case::forgotten_free(InjectedFault::ForgottenCancel, RESERVATION, "still holds")]
+fn a_planted_fault_is_found(
+    #[case] injected_fault: InjectedFault,
+    #[case] alphabet: &[Event],
+    #[case] says: &str,
+) {
+    let found = explore(injected_fault, alphabet, 5).unwrap_err();
     assert!(found.contains(says), "{found}");
 }
--- a/crates/mgs-ledger/tests/model/mod.rs
+++ b/crates/mgs-ledger/tests/model/mod.rs
@@ -1,21 +1,22 @@
-//! A ledger, an engine and what gateways were told, as one state that events change.
+//! Model of a ledger, an engine and the outcomes reported to gateways, as one state changed by
+//! events.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
 use mgs_ledger::action::Action;
-use mgs_ledger::finish::NotStarted;
-use mgs_ledger::finish::Stream;
+use mgs_ledger::execution::NotStarted;
+use mgs_ledger::execution::StreamState;
+use mgs_ledger::fault::InjectedFault;
 use mgs_ledger::job::Job;
 use mgs_ledger::job::OrganisationKey;
 use mgs_ledger::job::Sender;
+use mgs_ledger::ledger::DispatchResult;
 use mgs_ledger::ledger::Ledger;
 use mgs_ledger::ledger::Options;
-use mgs_ledger::ledger::Verdict;
-use mgs_ledger::plant::Plant;
 use mgs_ledger::reconcile::parse_stream_name;
 use mgs_ledger::reconcile::stream_name;
-use mgs_ledger::reconcile::Listed;
+use mgs_ledger::reconcile::EngineEntry;
 use mgs_schema::key::RequestId;
 use mgs_schema::wire::RefusalReason;
 use mgs_schema::wire::WithdrawState;
@@ -32,10 +33,10 @@
 const PART_TOKENS: u64 = 40;
 const BUDGET_MS: u64 = 50;
 
-/// What may happen. A number names a request.
+/// An event of the model. The number is the serial of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Event {
-    /// A dispatch of the first attempt arrives, on a session.
+    /// A dispatch of the first attempt arrives on the session of the second field.
     Dispatch(u64, u64),
     /// A withdrawal of all attempts arrives.
     Withdraw(u64),
@@ -49,50 +50,50 @@
     Started(u64),
     /// A start in flight is proved not to have happened.
     NotStarted(u64, NotStarted),
-    /// The path breaks; the start in flight has taken effect (or not).
-    StartBroke(u64, bool),
-    /// A start whose path broke takes effect all the same.
+    /// The connection to the engine is lost; the start in flight has taken effect (or not).
+    StartConnectionLost(u64, bool),
+    /// A start whose connection was lost takes effect late.
     LateStart(u64),
-    /// The path to a running stream is given up.
-    PathGivenUp(u64),
+    /// The sidecar gives up reading a running stream.
+    StreamAbandoned(u64),
     /// The engine ends a stream, and its end is read.
     Finished(u64),
-    /// The gateway reserves memory.
+    /// The gateway reserves memory for the span.
     Reserve,
-    /// The gateway has a part exported under its reservation.
+    /// The export of a part under the reservation starts.
     Export,
-    /// The path of the export breaks, or it is answered; it has taken effect (or not yet).
+    /// The export is answered or its connection is lost; it has taken effect (or not yet).
     ExportEnds(bool),
-    /// An export whose path broke takes effect all the same.
+    /// An export whose connection was lost takes effect late.
     LateExport,
-    /// A request that starts imports a part.
+    /// A starting request imports a part.
     Import(u64),
-    /// The gateway gives its reservation up.
+    /// The gateway releases its reservation.
     Release,
     /// Cancels in flight reach the engine.
     CancelsArrive,
-    /// The engine's list is read.
+    /// The engine's lists are reconciled with the ledger.
     Listed,
-    /// The engine starts anew with nothing.
+    /// The engine restarts without any state.
     EngineRestart,
     /// The sidecar is told to leave.
     Leave,
-    /// Longer than the gateway's lease passes.
+    /// More time than the gateway's lease passes.
     WaitLease,
-    /// Longer than any allotted time passes.
+    /// More time than any time budget passes.
     WaitDeadline,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct World {
+pub(crate) struct Model {
     now_ms: u64,
     pub(crate) ledger: Ledger,
     boot: u64,
-    /// Requests whose start was sent and not yet answered.
+    /// Requests whose start is in flight: sent and not yet answered.
     starting: BTreeSet<RequestId>,
-    /// Requests whose start was given up before it reached the engine, and still may.
+    /// Requests whose start was given up, but may still reach the engine.
     late: BTreeSet<RequestId>,
-    /// Requests whose stream is read.
+    /// Requests whose stream is being read.
     reading: BTreeSet<RequestId>,
     /// Streams that the engine holds.
     pub(crate) engine: BTreeSet<String>,
@@ -102,10 +103,10 @@
     kv_frees: BTreeSet<String>,
     exporting: bool,
     late_export: bool,
-    /// How often the engine ran each request.
+    /// Number of runs of each request at the engine.
     runs: BTreeMap<RequestId, u32>,
-    /// Requests of which a gateway was told that they were not run and never will be.
-    vouched: BTreeSet<RequestId>,
+    /// Requests reported to a gateway as not run now or later.
+    reported_not_run: BTreeSet<RequestId>,
 }
 
 fn id(number: u64) -> RequestId {
@@ -140,14 +141,14 @@
     }
 }
 
-impl World {
-    pub(crate) fn new(plant: Plant) -> Self {
+impl Model {
+    pub(crate) fn new(injected_fault: InjectedFault) -> Self {
         let options = Options {
             gateway_lease_ms: LEASE_MS,
             free_retry_ms: 5,
             full_pause_ms: 1,
             adopt_ms: LEASE_MS,
-            plant,
+            injected_fault,
             ..Options::default()
         };
         let mut ledger = Ledger::new(SIDECAR, options);
@@ -166,18 +167,18 @@
             exporting: false,
             late_export: false,
             runs: BTreeMap::new(),
-            vouched: BTreeSet::new(),
+            reported_not_run: BTreeSet::new(),
         }
     }
 
-    /// Whether the event can happen now.
+    /// Whether the event is possible in this state.
     pub(crate) fn can(&self, event: Event) -> bool {
         match event {
-            Event::Started(n) | Event::NotStarted(n, _) | Event::StartBroke(n, _) => {
+            Event::Started(n) | Event::NotStarted(n, _) | Event::StartConnectionLost(n, _) => {
                 self.starting.contains(&id(n))
             }
             Event::LateStart(n) => self.late.contains(&id(n)),
-            Event::PathGivenUp(n) | Event::Finished(n) => self.reading.contains(&id(n)),
+            Event::StreamAbandoned(n) | Event::Finished(n) => self.reading.contains(&id(n)),
             Event::CancelsArrive => !self.cancels.is_empty() || !self.kv_frees.is_empty(),
             Event::ExportEnds(_) => self.exporting,
             Event::LateExport => self.late_export,
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Makes the event happen; an error names the invariant that it broke.
+    /// Applies the event; the error names the violated invariant.
     pub(crate) fn step(&mut self, event: Event) -> Result<(), String> {
         self.now_ms += 1;
         let now_ms = self.now_ms;
@@ -197,14 +198,14 @@
                     .ledger
                     .withdraw(now_ms, id(n), 0, SIDECAR, BUDGET_MS * 100);
                 if state == WithdrawState::NeverStarted {
-                    self.vouch(id(n))?;
+                    self.report_not_run(id(n))?;
                 }
             }
             Event::Cancel(n) => {
                 self.ledger.cancel(now_ms, id(n));
             }
             Event::NewSession => {
-                self.ledger.heard(&job(0, 2).sender);
+                self.ledger.message_received(&job(0, 2).sender);
             }
             Event::GatewayLost => {
                 self.ledger.connection_closed(now_ms, 1);
@@ -221,27 +222,28 @@
                 self.starting.remove(&id(n));
                 self.ledger.not_started(now_ms, id(n), why);
             }
-            Event::StartBroke(n, took_effect) => {
-                if took_effect {
+            Event::StartConnectionLost(n, applied) => {
+                if applied {
                     self.run(id(n))?;
                 } else {
                     self.late.insert(id(n));
                 }
                 self.starting.remove(&id(n));
-                self.ledger.ended(now_ms, id(n), Stream::Lost, 0, 0);
+                self.ledger.ended(now_ms, id(n), StreamState::Unknown, 0, 0);
             }
             Event::LateStart(n) => {
                 self.late.remove(&id(n));
                 self.run(id(n))?;
             }
-            Event::PathGivenUp(n) => {
+            Event::StreamAbandoned(n) => {
                 self.reading.remove(&id(n));
-                self.ledger.ended(now_ms, id(n), Stream::Lost, 0, 0);
+                self.ledger.ended(now_ms, id(n), StreamState::Unknown, 0, 0);
             }
             Event::Finished(n) => {
                 self.reading.remove(&id(n));
                 self.engine.remove(&stream_name(id(n), 1));
-                self.ledger.ended(now_ms, id(n), Stream::Gone, 10, 5);
+                self.ledger
+                    .ended(now_ms, id(n), StreamState::Released, 10, 5);
             }
             Event::Reserve => {
                 let tokens = NEED_TOKENS;
@@ -249,10 +251,10 @@
                     .span_reserve(now_ms, SPAN, tokens, BUDGET_MS, GATEWAY);
             }
             Event::Export => self.exporting |= self.ledger.span_export(SPAN, PART, PART_TOKENS),
-            Event::ExportEnds(took_effect) => {
+            Event::ExportEnds(applied) => {
                 self.exporting = false;
-                self.late_export |= !took_effect;
-                if took_effect {
+                self.late_export |= !applied;
+                if applied {
                     self.engine_kv.insert(PART);
                 }
                 self.ledger.span_exported(now_ms, PART, PART_TOKENS);
@@ -274,7 +276,7 @@
             Event::WaitLease => self.pass(LEASE_MS + 1),
             Event::WaitDeadline => self.pass(BUDGET_MS + 1),
         }
-        self.obey()
+        self.perform_actions()
     }
 
     fn dispatch(&mut self, number: u64, session: u64) -> Result<(), String> {
@@ -282,11 +284,15 @@
         let begun = self.starting.contains(&id) || self.runs.contains_key(&id);
         let verdict = self.ledger.dispatch(self.now_ms, &job(number, session));
         match verdict {
-            Verdict::Queued { .. } if begun => Err(format!("{id} was queued again")),
-            // What is said of a duplicate is no proof; anything else is.
-            Verdict::Refused { reason, .. } if begun && reason != RefusalReason::Duplicate => Err(
-                format!("{id} was refused as {reason:?} although it had begun"),
-            ),
+            DispatchResult::Queued { .. } if begun => Err(format!("{id} was queued again")),
+            // A refusal as a duplicate doesn't prove that the request has not run; any other does.
+            DispatchResult::Refused { reason, .. }
+                if begun && reason != RefusalReason::Duplicate =>
+            {
+                Err(format!(
+                    "{id} was refused as {reason:?} although it had begun"
+                ))
+            }
             _ => Ok(()),
         }
     }
@@ -297,19 +303,19 @@
     }
 
     fn listed(&mut self) {
-        let listed: Vec<Listed> = self
+        let listed: Vec<EngineEntry> = self
             .engine
             .iter()
-            .map(|name| Listed {
+            .map(|name| EngineEntry {
                 name: name.clone(),
                 tokens: NEED_TOKENS,
                 finished: false,
             })
             .collect();
-        let kv: Vec<Listed> = self
+        let kv: Vec<EngineEntry> = self
             .engine_kv
             .iter()
-            .map(|name| Listed {
+            .map(|name| EngineEntry {
                 name: name.to_string(),
                 tokens: PART_TOKENS,
                 finished: false,
@@ -325,7 +331,7 @@
         let (boot, now_ms) = (self.boot, self.now_ms);
         self.ledger.engine_up(now_ms, boot, CAPACITY_TOKENS, 2);
         for id in std::mem::take(&mut self.reading) {
-            self.ledger.ended(now_ms, id, Stream::Gone, 0, 0);
+            self.ledger.ended(now_ms, id, StreamState::Released, 0, 0);
         }
     }
 
@@ -340,10 +346,11 @@
                 unreachable!("only requests' streams are modelled");
             };
             if self.reading.remove(&id) {
-                self.ledger.ended(self.now_ms, id, Stream::Gone, 0, 0);
+                self.ledger
+                    .ended(self.now_ms, id, StreamState::Released, 0, 0);
             }
             self.ledger.stream_freed(self.now_ms, id, attempt);
-            self.ledger.foreign_freed(self.now_ms, &name);
+            self.ledger.unowned_stream_freed(self.now_ms, &name);
         }
     }
 
@@ -354,40 +361,40 @@
         if *runs > 1 {
             return Err(format!("{id} ran twice"));
         }
-        match self.vouched.contains(&id) {
+        match self.reported_not_run.contains(&id) {
             true => Err(format!("{id} ran after it was said not to")),
             false => Ok(()),
         }
     }
 
-    fn vouch(&mut self, id: RequestId) -> Result<(), String> {
-        self.vouched.insert(id);
+    fn report_not_run(&mut self, id: RequestId) -> Result<(), String> {
+        self.reported_not_run.insert(id);
         match self.runs.contains_key(&id) {
             true => Err(format!("{id} had run when it was said not to have")),
             false => Ok(()),
         }
     }
 
-    fn obey(&mut self) -> Result<(), String> {
+    fn perform_actions(&mut self) -> Result<(), String> {
         for action in self.ledger.take_actions() {
             match action {
                 Action::Start(id) => {
-                    if self.vouched.contains(&id) {
+                    if self.reported_not_run.contains(&id) {
                         return Err(format!("{id} started after it was said not to"));
                     }
                     self.starting.insert(id);
                 }
-                Action::Refuse { id, .. } => self.vouch(id)?,
+                Action::Refuse { id, .. } => self.report_not_run(id)?,
                 Action::CancelStream { id, attempt } => {
                     self.cancels.insert(stream_name(id, attempt));
                 }
-                Action::CancelForeign(name) => {
+                Action::CancelUnownedStream(name) => {
                     self.cancels.insert(name);
                 }
                 Action::FreeKv(kv) => {
                     self.kv_frees.insert(kv);
                 }
-                Action::Fail { .. } | Action::Forget(_) => {}
+                Action::Fail { .. } | Action::DropAnswer(_) => {}
             }
         }
         match self.ledger.kv_used_tokens() > CAPACITY_TOKENS * 2 {
@@ -396,7 +403,7 @@
         }
     }
 
-    /// Lets time pass with a willing engine and no gateway, and checks that nothing is held.
+    /// Lets time pass with a working engine and no gateway, and checks that no memory is leaked.
     pub(crate) fn settle(mut self) -> Result<(), String> {
         for _ in 0..4 {
             for id in self.starting.clone() {
--- a/crates/mgs-ledger/tests/property.rs
+++ b/crates/mgs-ledger/tests/property.rs
@@ -1,11 +1,11 @@
-//! Long random histories of several requests.
+//! Property tests: long random histories of several requests.
 
 mod model;
 
-use mgs_ledger::finish::NotStarted;
-use mgs_ledger::plant::Plant;
+use mgs_ledger::execution::NotStarted;
+use mgs_ledger::fault::InjectedFault;
 use model::Event;
-use model::World;
+use model::Model;
 use proptest::prelude::any;
 use proptest::prelude::prop;
 use proptest::prelude::Just;
@@ -31,9 +31,9 @@
         6 => request.clone().prop_map(Event::Started),
         1 => request.clone().prop_map(|n| Event::NotStarted(n, NotStarted::Full)),
         1 => request.clone().prop_map(|n| Event::NotStarted(n, NotStarted::Rejected)),
-        2 => (request.clone(), any::<bool>()).prop_map(|(n, e)| Event::StartBroke(n, e)),
+        2 => (request.clone(), any::<bool>()).prop_map(|(n, e)| Event::StartConnectionLost(n, e)),
         1 => request.clone().prop_map(Event::LateStart),
-        1 => request.clone().prop_map(Event::PathGivenUp),
+        1 => request.clone().prop_map(Event::StreamAbandoned),
         4 => request.clone().prop_map(Event::Finished),
         2 => Just(Event::Reserve),
         2 => Just(Event::Export),
@@ -50,18 +50,18 @@
     ]
 }
 
-fn run(plant: Plant, events: &[Event]) -> Result<(), String> {
-    let mut world = World::new(plant);
+fn run(injected_fault: InjectedFault, events: &[Event]) -> Result<(), String> {
+    let mut model = Model::new(injected_fault);
     for event in events {
-        if world.can(*event) {
-            world.step(*event)?;
+        if model.can(*event) {
+            model.step(*event)?;
         }
     }
-    world.settle()
+    model.settle()
 }
 
-/// The first history that breaks an invariant, made small.
-fn search(plant: Plant) -> Result<(), String> {
+/// Searches random histories; the error describes a minimised history that violates an invariant.
+fn search(injected_fault: InjectedFault) -> Result<(), String> {
     let config = Config {
         cases: CASES,
         failure_persistence: None,
@@ -71,18 +71,18 @@
     let mut runner = TestRunner::new_with_rng(config, random);
     let histories = prop::collection::vec(event(), 1..EVENTS_MAX);
     let result = runner.run(&histories, |events| {
-        run(plant, &events).map_err(proptest::test_runner::TestCaseError::fail)
+        run(injected_fault, &events).map_err(proptest::test_runner::TestCaseError::fail)
     });
     result.map_err(|error| error.to_string())
 }
 
 #[test]
 fn random_histories_keep_every_invariant() {
-    search(Plant::None).unwrap();
+    search(InjectedFault::None).unwrap();
 }
 
 #[test]
 fn random_histories_find_planted_faults() {
-    search(Plant::DroppedTombstone).unwrap_err();
-    search(Plant::ForgottenCancel).unwrap_err();
+    search(InjectedFault::DroppedTombstone).unwrap_err();
+    search(InjectedFault::ForgottenCancel).unwrap_err();
 }
--- a/crates/mgs-ledger/tests/queue.rs
+++ b/crates/mgs-ledger/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The local order of work.
+//! Scheduling order of the queue.
 
 use mgs_ledger::job::Job;
 use mgs_ledger::job::OrganisationKey;
@@ -33,10 +33,10 @@
     }
 }
 
-/// Takes requests out in order, as many as there are.
+/// Starts all requests in order, and returns their serials.
 fn drain(queue: &mut Queue, now_ms: u64) -> Vec<u64> {
     let mut order = Vec::new();
-    while let Some(next) = queue.order(now_ms, URGENT_MS).first() {
+    while let Some(next) = queue.start_order(now_ms, URGENT_MS).first() {
         order.push(next.job.id.serial);
         queue.start(next.job.id, &[]);
     }
@@ -122,7 +122,7 @@
 fn waiting_takes_the_level_down_to_nothing(#[case] now_ms: u64, #[case] level: u32) {
     let mut queue = Queue::default();
     queue.push(0, job(1, 1, 9));
-    assert_eq!(queue.order(now_ms, URGENT_MS)[0].level(now_ms), level);
+    assert_eq!(queue.start_order(now_ms, URGENT_MS)[0].level(now_ms), level);
 }
 
 #[test]
@@ -131,10 +131,10 @@
     queue.push(0, job(0, 1, 9));
     let mut now_ms = 0;
     for serial in 1.. {
-        // High priority comes faster than it is served.
+        // Requests of high priority arrive faster than they are served.
         queue.push(now_ms, job(serial, 2, 0));
         queue.push(now_ms, job(1_000_000 + serial, 2, 0));
-        let next = queue.order(now_ms, URGENT_MS)[0];
+        let next = queue.start_order(now_ms, URGENT_MS)[0];
         queue.start(next.job.id, &[]);
         if next.job.id.serial == 0 {
             break;
--- a/crates/mgs-ledger/tests/record.rs
+++ b/crates/mgs-ledger/tests/record.rs
@@ -1,11 +1,11 @@
-//! Records stay true when they are forgotten early.
+//! Records give no false proof after early eviction.
 
-use mgs_ledger::record::Fate;
+use mgs_ledger::record::FinalState;
 use mgs_ledger::record::Options;
 use mgs_ledger::record::Records;
 use mgs_schema::key::RequestId;
 
-const RAN: Fate = Fate::Ran {
+const RAN: FinalState = FinalState::Ran {
     attempt: 1,
     answer_bytes: None,
 };
@@ -23,24 +23,24 @@
     for serial in [5, 6, 7] {
         records.set(id(1, serial), RAN, 100);
     }
-    assert_eq!(records.fate(id(1, 5)), None);
-    assert!(!records.may_vouch_for(id(1, 5)));
-    assert!(!records.may_vouch_for(id(1, 4)));
-    assert!(records.may_vouch_for(id(1, 8)));
-    assert!(records.may_vouch_for(id(2, 4)));
+    assert_eq!(records.final_state(id(1, 5)), None);
+    assert!(!records.can_rule_out_start(id(1, 5)));
+    assert!(!records.can_rule_out_start(id(1, 4)));
+    assert!(records.can_rule_out_start(id(1, 8)));
+    assert!(records.can_rule_out_start(id(2, 4)));
 }
 
 #[test]
 fn tombstones_last_their_time_and_no_longer() {
     let mut records = Records::new(Options::default());
-    let fate = Fate::NeverStarted { attempt: 1 };
-    records.set(id(1, 1), fate, 100);
-    records.set(id(1, 1), fate, 50);
+    let final_state = FinalState::NeverStarted { attempt: 1 };
+    records.set(id(1, 1), final_state, 100);
+    records.set(id(1, 1), final_state, 50);
     assert!(records.expire(99).is_empty());
-    assert_eq!(records.fate(id(1, 1)), Some(fate));
+    assert_eq!(records.final_state(id(1, 1)), Some(final_state));
     records.expire(100);
     assert!(records.is_empty());
-    assert!(records.may_vouch_for(id(1, 1)));
+    assert!(records.can_rule_out_start(id(1, 1)));
 }
 
 #[test]
@@ -53,5 +53,5 @@
         records.set(id(origin, 1), RAN, 100);
     }
     records.expire(100);
-    assert!(!records.may_vouch_for(id(3, 9)));
+    assert!(!records.can_rule_out_start(id(3, 9)));
 }
--- a/crates/mgs-ledger/tests/schedule.rs
+++ b/crates/mgs-ledger/tests/schedule.rs
@@ -1,13 +1,13 @@
-//! What starts, what waits and what is refused early.
+//! Scheduling: which requests start, wait or are refused early.
 
 use mgs_ledger::action::Action;
-use mgs_ledger::finish::Stream;
+use mgs_ledger::execution::StreamState;
 use mgs_ledger::job::Job;
 use mgs_ledger::job::OrganisationKey;
 use mgs_ledger::job::Sender;
+use mgs_ledger::ledger::DispatchResult;
 use mgs_ledger::ledger::Ledger;
 use mgs_ledger::ledger::Options;
-use mgs_ledger::ledger::Verdict;
 use mgs_ledger::rate;
 use mgs_schema::key::RequestId;
 use mgs_schema::wire::RefusalReason;
@@ -50,7 +50,7 @@
     ledger
 }
 
-/// Requests that the ledger now wants started.
+/// Serials of the requests in the pending start actions.
 fn started(ledger: &mut Ledger) -> Vec<u64> {
     let serial = |action| match action {
         Action::Start(id) => Some(id.serial),
@@ -74,7 +74,7 @@
         ledger.dispatch(0, &job(serial, tokens));
     }
     assert_eq!(started(&mut ledger), [1, 3, 4]);
-    // The first long prompt is processed, and the next takes its place.
+    // The prefill of the first long prompt ends, and the next long prompt starts.
     ledger.started(5, id(1));
     ledger.first_token(10, id(1));
     assert_eq!(started(&mut ledger), [2]);
@@ -103,7 +103,7 @@
         ledger.dispatch(0, &job(serial, 100));
     }
     assert_eq!(started(&mut ledger), [1, 3, 4]);
-    ledger.ended(10, id(1), Stream::Gone, 0, 0);
+    ledger.ended(10, id(1), StreamState::Released, 0, 0);
     assert_eq!(started(&mut ledger), [2, 5, 6, 7]);
 }
 
@@ -125,7 +125,7 @@
     if wanted == RefusalReason::Busy {
         ledger.dispatch(0, &job(2, 1_000));
     }
-    let Verdict::Refused {
+    let DispatchResult::Refused {
         reason,
         retry_after_ms,
     } = ledger.dispatch(0, &late)
@@ -135,8 +135,8 @@
     assert_eq!(reason, wanted);
     let can_come_back = wanted != RefusalReason::PromptExceedsMemory;
     assert_eq!(retry_after_ms > 0, can_come_back);
-    // Nothing was recorded: the same request may come again.
-    assert_eq!(ledger.fate(late.id), None);
+    // An early refusal leaves no record, so the same request may be dispatched again.
+    assert_eq!(ledger.final_state(late.id), None);
 }
 
 #[test]
@@ -168,12 +168,15 @@
     });
     for serial in 1..=3 {
         ledger.dispatch(0, &job(serial, 10));
-        ledger.ended(1, id(serial), Stream::Gone, 60, 1);
+        ledger.ended(1, id(serial), StreamState::Released, 60, 1);
     }
     let forgotten = ledger
         .take_actions()
         .into_iter()
-        .filter(|action| matches!(action, Action::Forget(_)));
+        .filter(|action| matches!(action, Action::DropAnswer(_)));
     let forgotten: Vec<Action> = forgotten.collect();
-    assert_eq!(forgotten, [Action::Forget(id(1)), Action::Forget(id(2))]);
+    assert_eq!(
+        forgotten,
+        [Action::DropAnswer(id(1)), Action::DropAnswer(id(2))]
+    );
 }
--- a/crates/mgs-sidecar/src/caller.rs
+++ b/crates/mgs-sidecar/src/caller.rs
@@ -114,7 +114,7 @@
 fn freed(shared: &Arc<Shared>, call: Call) {
     shared.tell(|ledger, now_ms| match call {
         Call::CancelStream { id, attempt } => ledger.stream_freed(now_ms, id, attempt),
-        Call::CancelForeign(stream) => ledger.foreign_freed(now_ms, &stream),
+        Call::CancelForeign(stream) => ledger.unowned_stream_freed(now_ms, &stream),
         Call::FreeKv(kv) => ledger.kv_freed(now_ms, &kv),
     });
 }
--- a/crates/mgs-sidecar/src/handler.rs
+++ b/crates/mgs-sidecar/src/handler.rs
@@ -5,8 +5,8 @@
 
 use mgs_ledger::job::Job;
 use mgs_ledger::job::Sender;
-use mgs_ledger::ledger::Resumed;
-use mgs_ledger::ledger::Verdict;
+use mgs_ledger::ledger::DispatchResult;
+use mgs_ledger::ledger::ResumeResult;
 use mgs_schema::key::RequestId;
 use mgs_schema::prefix::BLOCK_TOKENS;
 use mgs_schema::wire::envelope::Body;
@@ -102,7 +102,7 @@
             session: hello.session,
             connection,
         };
-        if !shared.tell(|ledger, _| ledger.heard(&sender)) {
+        if !shared.tell(|ledger, _| ledger.message_received(&sender)) {
             log::debug!(gateway = hello.process; "a session that a newer one has closed");
             return;
         }
@@ -123,7 +123,7 @@
         let reply = Mutex::new(Some(reply));
         let verdict = self.shared.tell_of_work(|ledger, now_ms| {
             let verdict = ledger.dispatch(now_ms, &job);
-            let Verdict::Queued { first_token_ms } = verdict else {
+            let DispatchResult::Queued { first_token_ms } = verdict else {
                 return (verdict, None);
             };
             let work = Work {
@@ -144,12 +144,12 @@
             (verdict, Some(Arc::new(work)))
         });
         let is_long = job.prefill_tokens() >= self.shared.options.ledger.long_prompt_tokens;
-        if is_long && matches!(verdict, Verdict::Queued { .. }) {
+        if is_long && matches!(verdict, DispatchResult::Queued { .. }) {
             self.shared.reporter.hasten();
         }
         let reply = locked(&reply).take();
         if let (
-            Verdict::Refused {
+            DispatchResult::Refused {
                 reason,
                 retry_after_ms,
             },
@@ -229,7 +229,7 @@
         };
         let (resumed, work) = self.shared.tell_of_work(|ledger, now_ms| {
             let resumed = ledger.resume(now_ms, id, &sender, resume.budget_ms);
-            let Resumed::Adopt { attempt, .. } = resumed else {
+            let ResumeResult::Adopt { attempt, .. } = resumed else {
                 return ((resumed, None), None);
             };
             let work = Arc::new(Work {
@@ -243,18 +243,18 @@
             ((resumed, Some(work.clone())), Some(work))
         });
         match resumed {
-            Resumed::Attach => self.attach(id, reply, resume.next_seq),
-            Resumed::Adopt { stream, .. } => {
+            ResumeResult::Attach => self.attach(id, reply, resume.next_seq),
+            ResumeResult::Adopt { stream, .. } => {
                 log::info!(request_id:% = id, stream; "stream of an earlier incarnation adopted");
                 self.attach(id, reply, resume.next_seq);
                 if let Some(work) = work {
                     self.read_adopted(work);
                 }
             }
-            Resumed::Dropped => answer(&reply, dropped()),
-            Resumed::NeverStarted => answer(&reply, refused(RefusalReason::Withdrawn, 0, "")),
-            Resumed::Stale => answer(&reply, refused(RefusalReason::StaleSession, 0, "")),
-            Resumed::Unknown => answer(
+            ResumeResult::Dropped => answer(&reply, dropped()),
+            ResumeResult::NeverStarted => answer(&reply, refused(RefusalReason::Withdrawn, 0, "")),
+            ResumeResult::Stale => answer(&reply, refused(RefusalReason::StaleSession, 0, "")),
+            ResumeResult::Unknown => answer(
                 &reply,
                 refused(RefusalReason::BadRequest, 0, "unknown request"),
             ),
--- a/crates/mgs-sidecar/src/order.rs
+++ b/crates/mgs-sidecar/src/order.rs
@@ -14,9 +14,9 @@
 use mgs_engine::engine::Engine;
 use mgs_engine::engine::Error;
 use mgs_engine::message;
+use mgs_ledger::fault::InjectedFault;
 use mgs_ledger::fence::Fence;
 use mgs_ledger::fence::Verdict;
-use mgs_ledger::plant::Plant;
 use mgs_platform::table::Table;
 use mgs_schema::wire::Order;
 use mgs_schema::wire::OrderReply;
@@ -36,7 +36,7 @@
     /// Name of the endpoint.
     endpoint: String,
     table: Option<Arc<dyn Table>>,
-    plant: Plant,
+    plant: InjectedFault,
     unloading: Mutex<Option<Unloading>>,
     inner: Mutex<Inner>,
 }
@@ -54,7 +54,7 @@
 }
 
 impl Orders {
-    pub(crate) fn new(endpoint: &str, table: Option<Arc<dyn Table>>, plant: Plant) -> Self {
+    pub(crate) fn new(endpoint: &str, table: Option<Arc<dyn Table>>, plant: InjectedFault) -> Self {
         Self {
             endpoint: endpoint.to_string(),
             table,
@@ -94,7 +94,7 @@
         order: &Order,
     ) -> Result<(), String> {
         let judgement = match &self.table {
-            _ if self.plant == Plant::IgnoredFence => Judgement::Obey,
+            _ if self.plant == InjectedFault::IgnoredFence => Judgement::Obey,
             Some(table) => {
                 let recorded = gate::recorded(table.as_ref(), &self.endpoint);
                 let recorded = recorded.map_err(|error| format!("store unavailable: {error}"))?;
@@ -143,9 +143,9 @@
 /// Judges an order without a platform.
 fn judge_alone(fence: &mut Fence, engine: &dyn Engine, order: &Order) -> Result<Judgement, String> {
     let info = engine.info().map_err(|error| error.to_string())?;
-    fence.learn(info.fencing);
+    fence.restore(info.fencing);
     match fence.check(order.fencing) {
-        Verdict::Obey => Ok(Judgement::Obey),
+        Verdict::Accept => Ok(Judgement::Obey),
         Verdict::Stale | Verdict::NotReady => Ok(Judgement::Refuse),
     }
 }
--- a/crates/mgs-sidecar/src/sidecar.rs
+++ b/crates/mgs-sidecar/src/sidecar.rs
@@ -185,7 +185,11 @@
         let runtime = Runtime::new(&runtime_options).map_err(Error::Threads)?;
         let endpoint = endpoint(&options, parts.engine.take());
         add_platform(&options, &mut parts);
-        let orders = Orders::new(&options.name, parts.table.clone(), options.ledger.plant);
+        let orders = Orders::new(
+            &options.name,
+            parts.table.clone(),
+            options.ledger.injected_fault,
+        );
         let incarnation = rand::random_range(1..=u64::MAX);
         let shared = Arc::new(Shared::new(options, incarnation, endpoint, orders));
         let mut watcher = Watcher::default();
--- a/crates/mgs-sidecar/src/state.rs
+++ b/crates/mgs-sidecar/src/state.rs
@@ -14,7 +14,7 @@
 use mgs_engine::message::Info;
 use mgs_ledger::action::Action;
 use mgs_ledger::cache::Cache;
-use mgs_ledger::finish::NotStarted;
+use mgs_ledger::execution::NotStarted;
 use mgs_ledger::job::OrganisationKey;
 use mgs_ledger::ledger::Ledger;
 use mgs_ledger::reconcile::stream_name;
@@ -232,9 +232,9 @@
                 Some(_) => self.calls.add(Call::CancelStream { id, attempt }),
                 None => self.tell(|ledger, now_ms| ledger.stream_freed(now_ms, id, attempt)),
             },
-            Action::CancelForeign(stream) => self.calls.add(Call::CancelForeign(stream)),
+            Action::CancelUnownedStream(stream) => self.calls.add(Call::CancelForeign(stream)),
             Action::FreeKv(kv) => self.calls.add(Call::FreeKv(kv)),
-            Action::Forget(id) => {
+            Action::DropAnswer(id) => {
                 locked(&self.works).remove(&id);
             }
         }
--- a/crates/mgs-sidecar/src/stream.rs
+++ b/crates/mgs-sidecar/src/stream.rs
@@ -9,8 +9,8 @@
 use mgs_engine::engine::Stream;
 use mgs_engine::message::Event;
 use mgs_engine::message::Start;
-use mgs_ledger::finish::NotStarted;
-use mgs_ledger::finish::Stream as Held;
+use mgs_ledger::execution::NotStarted;
+use mgs_ledger::execution::StreamState as Held;
 use mgs_schema::wire::envelope::Body;
 use mgs_schema::wire::Dispatch;
 use mgs_schema::wire::FailureReason;
@@ -118,7 +118,7 @@
     };
     Some(End {
         body,
-        held: Held::Gone,
+        held: Held::Released,
     })
 }
 
@@ -229,7 +229,7 @@
                 FailureReason::Endpoint,
                 &error.to_string(),
             ),
-            held: Held::Lost,
+            held: Held::Unknown,
         }
     }
 
@@ -270,21 +270,21 @@
                         return end;
                     }
                 }
-                Err(Error::NotFound) => return lost(Held::Gone, "the engine lost the stream"),
+                Err(Error::NotFound) => return lost(Held::Released, "the engine lost the stream"),
                 Err(error) => log::debug!(error:% = error, stream = self.name; "no resume"),
             }
             match self.lookup() {
                 Lookup::Found => answered_ms = self.shared.now_ms(),
-                Lookup::Absent => return lost(Held::Gone, "the engine lost the stream"),
+                Lookup::Absent => return lost(Held::Released, "the engine lost the stream"),
                 Lookup::Silent => {}
             }
             let silent_ms = self.shared.now_ms().saturating_sub(answered_ms);
             if silent_ms > self.shared.options.endpoint_silence_ms {
-                return lost(Held::Lost, "the engine doesn't answer");
+                return lost(Held::Unknown, "the engine doesn't answer");
             }
             self.pause();
         }
-        lost(Held::Lost, "nobody waits for the answer")
+        lost(Held::Unknown, "nobody waits for the answer")
     }
 
     /// Reads a stream to its end; `None` if its connection broke or frames are missing.
@@ -333,7 +333,7 @@
             let body = failed(Outcome::Failed, FailureReason::Cancelled, "");
             return Some(End {
                 body,
-                held: Held::Gone,
+                held: Held::Released,
             });
         }
         if frames != self.work.answer.next_seq() {
@@ -350,7 +350,7 @@
         });
         Some(End {
             body,
-            held: Held::Gone,
+            held: Held::Released,
         })
     }
 }
--- a/crates/mgs-sidecar/src/watcher.rs
+++ b/crates/mgs-sidecar/src/watcher.rs
@@ -9,7 +9,7 @@
 use mgs_engine::engine::Error;
 use mgs_engine::message::Info;
 use mgs_ledger::cache::Change;
-use mgs_ledger::reconcile::Listed;
+use mgs_ledger::reconcile::EngineEntry;
 
 use crate::service::Client;
 use crate::state::locked;
@@ -101,19 +101,19 @@
 }
 
 fn reconcile(shared: &Arc<Shared>, engine: &dyn Engine) -> Result<(), Error> {
-    let streams: Vec<Listed> = engine
+    let streams: Vec<EngineEntry> = engine
         .streams()?
         .into_iter()
-        .map(|stream| Listed {
+        .map(|stream| EngineEntry {
             name: stream.stream,
             tokens: if stream.finished { 0 } else { stream.kv_tokens },
             finished: stream.finished,
         })
         .collect();
-    let kv: Vec<Listed> = engine
+    let kv: Vec<EngineEntry> = engine
         .kv()?
         .into_iter()
-        .map(|kv| Listed {
+        .map(|kv| EngineEntry {
             name: kv.kv,
             tokens: kv.kv_tokens,
             finished: false,
--- a/crates/mgs-sidecar/tests/leave.rs
+++ b/crates/mgs-sidecar/tests/leave.rs
@@ -15,7 +15,7 @@
 use fake::Fake;
 use mgs_controller::order::Action;
 use mgs_controller::order::EndpointRecord;
-use mgs_ledger::plant::Plant;
+use mgs_ledger::fault::InjectedFault;
 use mgs_platform::host::Host;
 use mgs_platform::host::Hosts;
 use mgs_platform::host::State;
@@ -168,15 +168,15 @@
 }
 
 #[rstest]
-#[case::fenced(Plant::None, false)]
-#[case::planted(Plant::IgnoredFence, true)]
+#[case::fenced(InjectedFault::None, false)]
+#[case::planted(InjectedFault::IgnoredFence, true)]
 fn an_order_from_the_past_is_refused_even_if_the_engine_would_obey(
-    #[case] plant: Plant,
+    #[case] plant: InjectedFault,
     #[case] obeyed: bool,
 ) {
     let fake = Fake::new(9);
     let mut options = options();
-    options.ledger.plant = plant;
+    options.ledger.injected_fault = plant;
     let sidecar = common::start(options, &fake);
     let gateway = Gateway::connect(&sidecar, 1);
     assert!(give(&gateway, 7).done);
--- a/crates/mgs-sidecar/tests/memory.rs
+++ b/crates/mgs-sidecar/tests/memory.rs
@@ -14,7 +14,7 @@
 use common::WAIT;
 use fake::Fake;
 use mgs_engine::message::KvHandle;
-use mgs_ledger::plant::Plant;
+use mgs_ledger::fault::InjectedFault;
 use mgs_schema::wire::envelope::Body;
 use mgs_schema::wire::FailureReason;
 use mgs_schema::wire::RefusalReason;
@@ -166,7 +166,7 @@
 fn a_forgotten_cancel_shows_at_the_engine() {
     let fake = Fake::new(2);
     let mut options = options();
-    options.ledger.plant = Plant::ForgottenCancel;
+    options.ledger.injected_fault = InjectedFault::ForgottenCancel;
     let sidecar = start(options, &fake);
     let gateway = Gateway::connect(&sidecar, 1);
     let call = gateway.accepted(gateway.message(1, 5));
--- a/crates/mgs-sidecar/tests/once.rs
+++ b/crates/mgs-sidecar/tests/once.rs
@@ -12,7 +12,7 @@
 use common::Gateway;
 use common::WAIT;
 use fake::Fake;
-use mgs_ledger::plant::Plant;
+use mgs_ledger::fault::InjectedFault;
 use mgs_schema::wire::envelope::Body;
 use mgs_schema::wire::EndpointState;
 use mgs_schema::wire::Outcome;
@@ -40,7 +40,7 @@
 fn a_dropped_tombstone_lets_a_withdrawn_request_run() {
     let fake = Fake::new(9);
     let mut options = options();
-    options.ledger.plant = Plant::DroppedTombstone;
+    options.ledger.injected_fault = InjectedFault::DroppedTombstone;
     let sidecar = start(options, &fake);
     let gateway = Gateway::connect(&sidecar, 1);
     assert_eq!(gateway.withdraw(1, 1), WithdrawState::NeverStarted);
--- a/src/command/sidecar/mod.rs
+++ b/src/command/sidecar/mod.rs
@@ -7,7 +7,7 @@
 
 use clap::ArgMatches;
 use clap::Command;
-use mgs_ledger::plant::Plant;
+use mgs_ledger::fault::InjectedFault;
 use mgs_schema::settings::EndpointKind;
 use mgs_sidecar::sidecar;
 use mgs_sidecar::sidecar::Sidecar;
@@ -91,7 +91,7 @@
         ..sidecar::Options::default()
     };
     number::read(&NUMBERS, &mut values, &mut options);
-    options.ledger.plant = plant(&mut values);
+    options.ledger.injected_fault = plant(&mut values);
     values.finish()?;
 
     let mut stop = Stop::new()?;
@@ -122,13 +122,13 @@
     }
 }
 
-fn plant(values: &mut Values<'_>) -> Plant {
+fn plant(values: &mut Values<'_>) -> InjectedFault {
     let name = process::plant_name(values);
     if name.is_empty() {
-        return Plant::None;
+        return InjectedFault::None;
     }
     name.parse().unwrap_or_else(|_| {
         values.fault(process::PLANT, "no such deliberate bug in a sidecar");
-        Plant::None
+        InjectedFault::None
     })
 }
