--- a/crates/mgs-ledger/src/cache.rs
+++ b/crates/mgs-ledger/src/cache.rs
@@ -49,6 +49,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Cache {
     options: Options,
+    /// Sequence number of the last event applied; 0 if none.
     seen: u64,
     blocks: BTreeSet<u64>,
     /// Recent changes (block, cached) in order, served to readers at an older position.
@@ -60,7 +61,7 @@
 }
 
 impl Cache {
-    /// An empty index.
+    /// Creates an empty index.
     ///
     /// ```
     /// use mgs_ledger::cache::Cache;
--- a/crates/mgs-ledger/src/fence.rs
+++ b/crates/mgs-ledger/src/fence.rs
@@ -22,7 +22,7 @@
 }
 
 impl Fence {
-    /// A fence that accepts no order until a number is restored.
+    /// Creates a fence that accepts no order until a number is restored.
     ///
     /// ```
     /// use mgs_ledger::fence::Fence;
--- a/crates/mgs-ledger/src/ledger.rs
+++ b/crates/mgs-ledger/src/ledger.rs
@@ -163,6 +163,7 @@
     pub(crate) records: Records,
     pub(crate) memory: Memory,
     pub(crate) queue: Queue,
+    /// Requests handed to the endpoint that haven't ended.
     pub(crate) in_flight: BTreeMap<RequestId, InFlight>,
     pub(crate) rates: Rates,
     pub(crate) unavailable: Unavailable,
@@ -183,7 +184,7 @@
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     ///
     /// ```
     /// use mgs_ledger::ledger::Ledger;
@@ -236,7 +237,7 @@
 
     /// Queues a dispatched request, or refuses it.
     pub fn dispatch(&mut self, now_ms: u64, job: &Job) -> DispatchResult {
-        if let Some(reason) = self.identity_refusal(job) {
+        if let Some(reason) = self.validity_refusal(job) {
             return DispatchResult::Refused {
                 reason,
                 retry_after_ms: 0,
@@ -249,7 +250,7 @@
             };
         }
         let first_token_ms = self.first_token_ms(now_ms, job);
-        self.records.forget(job.id);
+        self.records.discard(job.id);
         self.queue.push(now_ms, *job);
         self.schedule(now_ms);
         DispatchResult::Queued { first_token_ms }
@@ -257,7 +258,7 @@
 
     /// Why this dispatch must not start the request, regardless of load: it addresses another
     /// incarnation, repeats a known attempt or comes from a closed session.
-    fn identity_refusal(&mut self, job: &Job) -> Option<RefusalReason> {
+    fn validity_refusal(&mut self, job: &Job) -> Option<RefusalReason> {
         if job.sidecar_incarnation != self.incarnation {
             return Some(RefusalReason::StaleIncarnation);
         }
--- a/crates/mgs-ledger/src/memory.rs
+++ b/crates/mgs-ledger/src/memory.rs
@@ -52,6 +52,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Memory {
     capacity_tokens: Option<u64>,
+    /// Sum of the sizes of all allocations.
     used_tokens: u64,
     allocations: BTreeMap<AllocationKey, Allocation>,
 }
--- a/crates/mgs-ledger/src/queue.rs
+++ b/crates/mgs-ledger/src/queue.rs
@@ -31,6 +31,7 @@
     pub deadline_ms: u64,
     /// Number of starts that bypassed it because it didn't fit into free memory.
     pub bypassed: u32,
+    /// Virtual start time in fair queueing.
     start_tag: u64,
 }
 
@@ -59,12 +60,14 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Queue {
     waiting: Vec<Waiting>,
+    /// Virtual finish time of the last request of each organisation.
     finish_tags: BTreeMap<OrganisationKey, u64>,
+    /// Highest virtual start time among the requests started.
     virtual_time: u64,
 }
 
 impl Queue {
-    /// Adds a request.
+    /// Adds a request, with its virtual start time after the earlier requests of its organisation.
     ///
     /// ```
     /// use mgs_ledger::queue::Queue;
--- a/crates/mgs-ledger/src/rate.rs
+++ b/crates/mgs-ledger/src/rate.rs
@@ -3,7 +3,7 @@
 //! Sums of tokens (or steps) and time decay with each sample, so that their quotient is a weighted
 //! mean of the latest samples. They are integers, so that the state can be compared and hashed.
 
-/// The weight of a sample falls by one part in this many with each later sample.
+/// The weight of a sample falls by 1 part in this many with each later sample.
 const DECAY_DIVISOR: u64 = 8;
 
 const US_PER_MS: u64 = 1_000;
--- a/crates/mgs-ledger/src/reconcile.rs
+++ b/crates/mgs-ledger/src/reconcile.rs
@@ -75,13 +75,13 @@
     /// Removes the allocations lost in an engine restart that no in-flight request or reservation
     /// accounts for.
     fn remove_unowned(&mut self) {
-        let gone: Vec<AllocationKey> = self
+        let released: Vec<AllocationKey> = self
             .memory
             .iter()
             .filter(|(key, _)| self.is_unowned(key))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in gone {
+        for key in released {
             self.memory.free(&key);
         }
     }
@@ -103,13 +103,13 @@
             let key = AllocationKey::Kv(kv.name.clone());
             self.insert_unowned(now_ms, key, kv.tokens, false);
         }
-        let listed: BTreeSet<&str> = streams.iter().map(|s| s.name.as_str()).collect();
+        let listed_streams: BTreeSet<&str> = streams.iter().map(|s| s.name.as_str()).collect();
         let listed_kv: BTreeSet<&str> = kv.iter().map(|kv| kv.name.as_str()).collect();
-        let gone: Vec<AllocationKey> = self
+        let released: Vec<AllocationKey> = self
             .memory
             .iter()
             .filter(|(key, allocation)| match key {
-                AllocationKey::UnownedStream(name) => !listed.contains(name.as_str()),
+                AllocationKey::UnownedStream(name) => !listed_streams.contains(name.as_str()),
                 // KV in use may not have reached the engine yet.
                 AllocationKey::Kv(name) => {
                     let is_wanted =
@@ -120,7 +120,7 @@
             })
             .map(|(key, _)| key.clone())
             .collect();
-        for key in gone {
+        for key in released {
             self.memory.free(&key);
         }
         self.retry_frees(now_ms);
--- a/crates/mgs-ledger/src/record.rs
+++ b/crates/mgs-ledger/src/record.rs
@@ -59,8 +59,11 @@
 pub struct Records {
     options: Options,
     records: BTreeMap<RequestId, Record>,
+    /// Records by time of expiry.
     expiry: BTreeSet<(u64, RequestId)>,
+    /// Number of tombstones among the records.
     tombstones: usize,
+    /// Floor of each origin: the highest serial among its removed records of requests that ran.
     floors: BTreeMap<u64, u64>,
     /// Set when a floor exceeded the limit and was lost. From then on no unknown request can be
     /// said not to have started.
@@ -139,7 +142,7 @@
     }
 
     /// Removes the record of a request that is dispatched again.
-    pub fn forget(&mut self, id: RequestId) {
+    pub fn discard(&mut self, id: RequestId) {
         self.remove(id);
     }
 
--- a/crates/mgs-ledger/src/schedule.rs
+++ b/crates/mgs-ledger/src/schedule.rs
@@ -89,7 +89,7 @@
         let first_token_ms = self.first_token_ms(now_ms, job);
         if first_token_ms > job.budget_ms {
             let late_ms = first_token_ms - job.budget_ms;
-            return Some((RefusalReason::Deadline, clamp_retry(late_ms)));
+            return Some((RefusalReason::Deadline, clamp_retry_ms(late_ms)));
         }
         None
     }
@@ -107,7 +107,7 @@
         let (reserved, first_ms) = self.memory.reserved();
         if need > capacity.saturating_sub(reserved) {
             let wait_ms = first_ms.unwrap_or(now_ms).saturating_sub(now_ms);
-            return Some((RefusalReason::Memory, clamp_retry(wait_ms)));
+            return Some((RefusalReason::Memory, clamp_retry_ms(wait_ms)));
         }
         None
     }
@@ -116,7 +116,7 @@
     fn queue_wait_ms(&self) -> u64 {
         let tokens: u64 = self.queue.iter().map(|w| w.job.prefill_tokens()).sum();
         let waiting = self.queue.len().max(1) as u64;
-        clamp_retry(self.rates.prefill_ms(tokens / waiting) + self.slot_interval_ms())
+        clamp_retry_ms(self.rates.prefill_ms(tokens / waiting) + self.slot_interval_ms())
     }
 
     /// Maximum number of concurrent requests at the endpoint.
@@ -155,7 +155,7 @@
     fn prefilling(&self) -> impl Iterator<Item = &Job> {
         let requests = self.in_flight.values();
         requests
-            .filter(|l| l.first_token_ms.is_none())
+            .filter(|request| request.first_token_ms.is_none())
             .map(InFlight::job)
     }
 
@@ -170,7 +170,7 @@
             return;
         }
         while self.in_flight.len() < self.slots() {
-            let Some((next, bypassed)) = self.choose(now_ms) else {
+            let Some((next, bypassed)) = self.choose_next(now_ms) else {
                 return;
             };
             self.start(now_ms, next, &bypassed);
@@ -178,7 +178,7 @@
     }
 
     /// Returns the next request to start, and those that it bypasses because they don't fit.
-    fn choose(&self, now_ms: u64) -> Option<(RequestId, Vec<RequestId>)> {
+    fn choose_next(&self, now_ms: u64) -> Option<(RequestId, Vec<RequestId>)> {
         let mut bypassed = Vec::new();
         for waiting in self.queue.start_order(now_ms, self.options.urgent_ms) {
             if waiting.deadline_ms <= now_ms || !self.long_prefill_allows(&waiting.job) {
@@ -290,6 +290,6 @@
     }
 }
 
-fn clamp_retry(ms: u64) -> u64 {
+fn clamp_retry_ms(ms: u64) -> u64 {
     ms.clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS)
 }
--- a/crates/mgs-ledger/src/session.rs
+++ b/crates/mgs-ledger/src/session.rs
@@ -8,7 +8,9 @@
 /// One gateway incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Gateway {
+    /// Its newest session.
     session: u64,
+    /// Its open connections.
     connections: BTreeSet<u64>,
     /// When its last connection ended; valid only while `connections` is empty.
     disconnected_at_ms: u64,
--- a/crates/mgs-ledger/src/tick.rs
+++ b/crates/mgs-ledger/src/tick.rs
@@ -81,14 +81,14 @@
         let mut spans = Vec::new();
         let mut unowned = Vec::new();
         for (key, allocation) in self.memory.iter() {
-            let expired = allocation.expires_ms <= now_ms;
+            let is_expired = allocation.expires_ms <= now_ms;
             match key {
                 AllocationKey::Span(span)
-                    if expired || self.is_owner_disconnected(now_ms, allocation.owner) =>
+                    if is_expired || self.is_owner_disconnected(now_ms, allocation.owner) =>
                 {
                     spans.push(*span);
                 }
-                AllocationKey::UnownedStream(_) | AllocationKey::Kv(_) if expired => {
+                AllocationKey::UnownedStream(_) | AllocationKey::Kv(_) if is_expired => {
                     unowned.push(key.clone())
                 }
                 _ => {}
--- a/crates/mgs-ledger/tests/cache.rs
+++ b/crates/mgs-ledger/tests/cache.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_gap_makes_every_reader_start_anew() {
+fn a_gap_resets_every_reader() {
     let mut cache = Cache::new(Options::default());
     cache.apply(&[change(1, 10, true)]);
     let (_, position) = cache.delta(0);
@@ -37,28 +37,28 @@
 }
 
 #[test]
-fn deltas_are_bounded_and_come_to_the_whole() {
+fn bounded_deltas_add_up_to_the_full_state() {
     let mut cache = Cache::new(Options {
         delta_max: 3,
         ..Options::default()
     });
     let changes: Vec<Change> = (1..=10).map(|n| change(n, n, true)).collect();
     cache.apply(&changes);
-    let (mut learnt, mut position) = (Vec::new(), 0);
+    let (mut received, mut position) = (Vec::new(), 0);
     loop {
         let (delta, next) = cache.delta(position);
         if next == position {
             break;
         }
         assert!(delta.cached.len() <= 3);
-        learnt.extend(delta.cached);
+        received.extend(delta.cached);
         position = next;
     }
-    assert_eq!(learnt, (1..=10).collect::<Vec<u64>>());
+    assert_eq!(received, (1..=10).collect::<Vec<u64>>());
 }
 
 #[test]
-fn a_long_history_is_cut_and_readers_learn_the_present() {
+fn truncating_the_log_resets_readers_to_the_current_state() {
     let mut cache = Cache::new(Options {
         blocks_max: 4,
         delta_max: 100,
--- a/crates/mgs-ledger/tests/explore.rs
+++ b/crates/mgs-ledger/tests/explore.rs
@@ -27,7 +27,7 @@
     Event::StreamAbandoned(1),
     Event::Finished(1),
     Event::CancelsArrive,
-    Event::Listed,
+    Event::Reconcile,
     Event::EngineRestart,
     Event::Leave,
     Event::WaitLease,
@@ -46,7 +46,7 @@
     Event::StartConnectionLost(1, true),
     Event::Finished(1),
     Event::CancelsArrive,
-    Event::Listed,
+    Event::Reconcile,
     Event::WaitLease,
 ];
 
@@ -66,7 +66,7 @@
     Event::Finished(2),
     Event::GatewayLost,
     Event::CancelsArrive,
-    Event::Listed,
+    Event::Reconcile,
     Event::EngineRestart,
     Event::WaitLease,
 ];
@@ -112,7 +112,7 @@
 #[case::dropped_tombstone(InjectedFault::DroppedTombstone, SINGLE_REQUEST, "said not to")]
 #[case::forgotten_cancel(InjectedFault::ForgottenCancel, SINGLE_REQUEST, "still holds")]
 #[case::forgotten_free(InjectedFault::ForgottenCancel, RESERVATION, "still holds")]
-fn a_planted_fault_is_found(
+fn an_injected_fault_is_found(
     #[case] injected_fault: InjectedFault,
     #[case] alphabet: &[Event],
     #[case] says: &str,
--- a/crates/mgs-ledger/tests/model/mod.rs
+++ b/crates/mgs-ledger/tests/model/mod.rs
@@ -73,7 +73,7 @@
     /// Cancels in flight reach the engine.
     CancelsArrive,
     /// The engine's lists are reconciled with the ledger.
-    Listed,
+    Reconcile,
     /// The engine restarts without any state.
     EngineRestart,
     /// The sidecar is told to leave.
@@ -92,11 +92,11 @@
     /// Requests whose start is in flight: sent and not yet answered.
     starting: BTreeSet<RequestId>,
     /// Requests whose start was given up, but may still reach the engine.
-    late: BTreeSet<RequestId>,
+    late_starts: BTreeSet<RequestId>,
     /// Requests whose stream is being read.
     reading: BTreeSet<RequestId>,
     /// Streams that the engine holds.
-    pub(crate) engine: BTreeSet<String>,
+    pub(crate) engine_streams: BTreeSet<String>,
     cancels: BTreeSet<String>,
     /// KV that the engine holds.
     pub(crate) engine_kv: BTreeSet<&'static str>,
@@ -158,9 +158,9 @@
             ledger,
             boot: 1,
             starting: BTreeSet::new(),
-            late: BTreeSet::new(),
+            late_starts: BTreeSet::new(),
             reading: BTreeSet::new(),
-            engine: BTreeSet::new(),
+            engine_streams: BTreeSet::new(),
             cancels: BTreeSet::new(),
             engine_kv: BTreeSet::new(),
             kv_frees: BTreeSet::new(),
@@ -177,7 +177,7 @@
             Event::Started(n) | Event::NotStarted(n, _) | Event::StartConnectionLost(n, _) => {
                 self.starting.contains(&id(n))
             }
-            Event::LateStart(n) => self.late.contains(&id(n)),
+            Event::LateStart(n) => self.late_starts.contains(&id(n)),
             Event::StreamAbandoned(n) | Event::Finished(n) => self.reading.contains(&id(n)),
             Event::CancelsArrive => !self.cancels.is_empty() || !self.kv_frees.is_empty(),
             Event::ExportEnds(_) => self.exporting,
@@ -212,7 +212,7 @@
                 self.ledger.connection_closed(now_ms, 2);
             }
             Event::Started(n) => {
-                self.run(id(n))?;
+                self.record_run(id(n))?;
                 self.starting.remove(&id(n));
                 self.reading.insert(id(n));
                 self.ledger.started(now_ms, id(n));
@@ -224,16 +224,16 @@
             }
             Event::StartConnectionLost(n, applied) => {
                 if applied {
-                    self.run(id(n))?;
+                    self.record_run(id(n))?;
                 } else {
-                    self.late.insert(id(n));
+                    self.late_starts.insert(id(n));
                 }
                 self.starting.remove(&id(n));
                 self.ledger.ended(now_ms, id(n), StreamState::Unknown, 0, 0);
             }
             Event::LateStart(n) => {
-                self.late.remove(&id(n));
-                self.run(id(n))?;
+                self.late_starts.remove(&id(n));
+                self.record_run(id(n))?;
             }
             Event::StreamAbandoned(n) => {
                 self.reading.remove(&id(n));
@@ -241,7 +241,7 @@
             }
             Event::Finished(n) => {
                 self.reading.remove(&id(n));
-                self.engine.remove(&stream_name(id(n), 1));
+                self.engine_streams.remove(&stream_name(id(n), 1));
                 self.ledger
                     .ended(now_ms, id(n), StreamState::Released, 10, 5);
             }
@@ -270,24 +270,24 @@
             }
             Event::Release => self.ledger.span_release(now_ms, SPAN),
             Event::CancelsArrive => self.cancels_arrive(),
-            Event::Listed => self.listed(),
+            Event::Reconcile => self.reconcile(),
             Event::EngineRestart => self.engine_restart(),
             Event::Leave => self.ledger.set_leaving(now_ms, true),
-            Event::WaitLease => self.pass(LEASE_MS + 1),
-            Event::WaitDeadline => self.pass(BUDGET_MS + 1),
+            Event::WaitLease => self.advance_time(LEASE_MS + 1),
+            Event::WaitDeadline => self.advance_time(BUDGET_MS + 1),
         }
         self.perform_actions()
     }
 
     fn dispatch(&mut self, number: u64, session: u64) -> Result<(), String> {
         let id = id(number);
-        let begun = self.starting.contains(&id) || self.runs.contains_key(&id);
+        let has_started = self.starting.contains(&id) || self.runs.contains_key(&id);
         let verdict = self.ledger.dispatch(self.now_ms, &job(number, session));
         match verdict {
-            DispatchResult::Queued { .. } if begun => Err(format!("{id} was queued again")),
+            DispatchResult::Queued { .. } if has_started => Err(format!("{id} was queued again")),
             // A refusal as a duplicate doesn't prove that the request has not run; any other does.
             DispatchResult::Refused { reason, .. }
-                if begun && reason != RefusalReason::Duplicate =>
+                if has_started && reason != RefusalReason::Duplicate =>
             {
                 Err(format!(
                     "{id} was refused as {reason:?} although it had begun"
@@ -297,14 +297,14 @@
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance_time(&mut self, ms: u64) {
         self.now_ms += ms;
         self.ledger.tick(self.now_ms);
     }
 
-    fn listed(&mut self) {
+    fn reconcile(&mut self) {
         let listed: Vec<EngineEntry> = self
-            .engine
+            .engine_streams
             .iter()
             .map(|name| EngineEntry {
                 name: name.clone(),
@@ -325,7 +325,7 @@
     }
 
     fn engine_restart(&mut self) {
-        self.engine.clear();
+        self.engine_streams.clear();
         self.engine_kv.clear();
         self.boot += 1;
         let (boot, now_ms) = (self.boot, self.now_ms);
@@ -341,7 +341,7 @@
             self.ledger.kv_freed(self.now_ms, &kv);
         }
         for name in std::mem::take(&mut self.cancels) {
-            self.engine.remove(&name);
+            self.engine_streams.remove(&name);
             let Some((id, attempt)) = parse_stream_name(&name) else {
                 unreachable!("only requests' streams are modelled");
             };
@@ -354,8 +354,8 @@
         }
     }
 
-    fn run(&mut self, id: RequestId) -> Result<(), String> {
-        self.engine.insert(stream_name(id, 1));
+    fn record_run(&mut self, id: RequestId) -> Result<(), String> {
+        self.engine_streams.insert(stream_name(id, 1));
         let runs = self.runs.entry(id).or_default();
         *runs += 1;
         if *runs > 1 {
@@ -415,18 +415,18 @@
             if self.late_export {
                 self.step(Event::LateExport)?;
             }
-            for id in self.late.clone() {
+            for id in self.late_starts.clone() {
                 self.step(Event::LateStart(id.serial))?;
             }
             self.step(Event::GatewayLost)?;
             self.step(Event::WaitDeadline)?;
-            self.step(Event::Listed)?;
+            self.step(Event::Reconcile)?;
             if self.can(Event::CancelsArrive) {
                 self.step(Event::CancelsArrive)?;
             }
         }
-        if !self.engine.is_empty() || !self.engine_kv.is_empty() {
-            let (streams, kv) = (&self.engine, &self.engine_kv);
+        if !self.engine_streams.is_empty() || !self.engine_kv.is_empty() {
+            let (streams, kv) = (&self.engine_streams, &self.engine_kv);
             return Err(format!("the engine still holds {streams:?} {kv:?}"));
         }
         match (self.ledger.kv_used_tokens(), self.ledger.is_idle()) {
--- a/crates/mgs-ledger/tests/property.rs
+++ b/crates/mgs-ledger/tests/property.rs
@@ -42,7 +42,7 @@
         1 => request.prop_map(Event::Import),
         1 => Just(Event::Release),
         3 => Just(Event::CancelsArrive),
-        2 => Just(Event::Listed),
+        2 => Just(Event::Reconcile),
         1 => Just(Event::EngineRestart),
         1 => Just(Event::Leave),
         2 => Just(Event::WaitLease),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn random_histories_find_planted_faults() {
+fn random_histories_find_injected_faults() {
     search(InjectedFault::DroppedTombstone).unwrap_err();
     search(InjectedFault::ForgottenCancel).unwrap_err();
 }
--- a/crates/mgs-ledger/tests/queue.rs
+++ b/crates/mgs-ledger/tests/queue.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_crowd_of_one_organisation_does_not_hold_up_another() {
+fn a_burst_of_one_organisation_does_not_delay_another() {
     let mut queue = Queue::default();
     for serial in 0..10 {
         queue.push(0, job(serial, 1, 0));
@@ -119,14 +119,14 @@
 #[case::fresh(0, 9)]
 #[case::half(5_000, 4)]
 #[case::late(9_500, 0)]
-fn waiting_takes_the_level_down_to_nothing(#[case] now_ms: u64, #[case] level: u32) {
+fn ageing_lowers_the_level_to_zero(#[case] now_ms: u64, #[case] level: u32) {
     let mut queue = Queue::default();
     queue.push(0, job(1, 1, 9));
     assert_eq!(queue.start_order(now_ms, URGENT_MS)[0].level(now_ms), level);
 }
 
 #[test]
-fn low_priority_gets_its_turn_under_a_stream_of_high() {
+fn low_priority_is_not_starved_by_high_priority() {
     let mut queue = Queue::default();
     queue.push(0, job(0, 1, 9));
     let mut now_ms = 0;
--- a/crates/mgs-ledger/tests/record.rs
+++ b/crates/mgs-ledger/tests/record.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn nothing_is_vouched_for_below_a_forgotten_record() {
+fn an_evicted_record_raises_the_floor_of_its_origin() {
     let mut records = Records::new(Options {
         ran_max: 2,
         ..Options::default()
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn tombstones_last_their_time_and_no_longer() {
+fn tombstones_are_kept_until_their_expiry() {
     let mut records = Records::new(Options::default());
     let final_state = FinalState::NeverStarted { attempt: 1 };
     records.set(id(1, 1), final_state, 100);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn with_too_many_floors_nothing_unknown_is_vouched_for() {
+fn a_lost_floor_leaves_no_unknown_request_certain() {
     let mut records = Records::new(Options {
         floors_max: 1,
         ..Options::default()
--- a/crates/mgs-ledger/tests/schedule.rs
+++ b/crates/mgs-ledger/tests/schedule.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_short_prompt_goes_past_long_ones_over_the_cap() {
+fn a_short_prompt_bypasses_long_ones_over_the_limit() {
     let mut ledger = ledger(Options {
         long_prompt_tokens: 1_000,
         long_prefill_max_tokens: 2_500,
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn one_long_prompt_over_the_cap_still_runs_alone() {
+fn one_long_prompt_over_the_limit_runs_alone() {
     let mut ledger = ledger(Options {
         long_prompt_tokens: 1_000,
         long_prefill_max_tokens: 500,
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_does_not_fit_is_passed_by_a_bounded_number() {
+fn a_request_that_does_not_fit_is_bypassed_a_bounded_number_of_times() {
     let mut ledger = ledger(Options {
         bypass_max: 2,
         ..Options::default()
@@ -111,7 +111,7 @@
 #[case::too_long(job(100, 20_000), RefusalReason::PromptExceedsMemory)]
 #[case::too_late(Job { budget_ms: 10, ..job(100, 5_000) }, RefusalReason::Deadline)]
 #[case::too_many(job(100, 10), RefusalReason::Busy)]
-fn an_early_refusal_says_why(#[case] late: Job, #[case] wanted: RefusalReason) {
+fn an_early_refusal_gives_its_reason(#[case] late: Job, #[case] wanted: RefusalReason) {
     let mut ledger = ledger(Options {
         running_max: 1,
         waiting_max: 1,
@@ -133,14 +133,14 @@
         panic!("not refused");
     };
     assert_eq!(reason, wanted);
-    let can_come_back = wanted != RefusalReason::PromptExceedsMemory;
-    assert_eq!(retry_after_ms > 0, can_come_back);
+    let can_retry = wanted != RefusalReason::PromptExceedsMemory;
+    assert_eq!(retry_after_ms > 0, can_retry);
     // An early refusal leaves no record, so the same request may be dispatched again.
     assert_eq!(ledger.final_state(late.id), None);
 }
 
 #[test]
-fn measured_prefill_shows_in_predictions() {
+fn measured_prefill_rate_is_used_in_predictions() {
     let mut ledger = ledger(Options::default());
     let before_ms = ledger.first_token_ms(0, &job(9, 5_000));
     ledger.dispatch(0, &job(1, 5_000));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn cached_tokens_are_not_waited_for() {
+fn cached_tokens_are_excluded_from_predictions() {
     let ledger = ledger(Options::default());
     let cached = Job {
         cached_tokens: 4_000,
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn kept_answers_are_bounded_in_bytes() {
+fn retained_answers_are_bounded_in_bytes() {
     let mut ledger = ledger(Options {
         answers_max_bytes: 100,
         ..Options::default()
@@ -170,13 +170,13 @@
         ledger.dispatch(0, &job(serial, 10));
         ledger.ended(1, id(serial), StreamState::Released, 60, 1);
     }
-    let forgotten = ledger
+    let dropped = ledger
         .take_actions()
         .into_iter()
         .filter(|action| matches!(action, Action::DropAnswer(_)));
-    let forgotten: Vec<Action> = forgotten.collect();
+    let dropped: Vec<Action> = dropped.collect();
     assert_eq!(
-        forgotten,
+        dropped,
         [Action::DropAnswer(id(1)), Action::DropAnswer(id(2))]
     );
 }
