--- a/src/command/sidecar/mod.rs
+++ b/src/command/sidecar/mod.rs
@@ -7,7 +7,7 @@
 
 use clap::ArgMatches;
 use clap::Command;
-use mgs_ledger::plant::Plant;
+use mgs_ledger::fault::InjectedFault;
 use mgs_schema::settings::EndpointKind;
 use mgs_sidecar::sidecar;
 use mgs_sidecar::sidecar::Sidecar;
@@ -96,7 +96,7 @@
         ..sidecar::Options::default()
     };
     number::read(&NUMBER_SETTINGS, &mut values, &mut options);
-    options.ledger.plant = injected_bug(&mut values);
+    options.ledger.injected_fault = injected_bug(&mut values);
     values.finish()?;
 
     let mut signals = ShutdownSignals::new()?;
@@ -127,16 +127,16 @@
     }
 }
 
-fn injected_bug(values: &mut SettingValues<'_>) -> Plant {
+fn injected_bug(values: &mut SettingValues<'_>) -> InjectedFault {
     let name = common::injected_bug_name(values);
     if name.is_empty() {
-        return Plant::None;
+        return InjectedFault::None;
     }
     name.parse().unwrap_or_else(|_| {
         values.reject(
             common::PLANT,
             "a sidecar has no deliberate bug of this name",
         );
-        Plant::None
+        InjectedFault::None
     })
 }
