--- a/crates/mgs-placing/tests/emulator/mod.rs
+++ b/crates/mgs-placing/tests/emulator/mod.rs
@@ -1,8 +1,8 @@
 //! Discrete-event emulator of engines that work in passes, and generated loads of short and long
 //! prompts.
 //!
-//! The timing of passes follows [`EngineModel`], whose figures are calibrated against the users'
-//! benchmark. A load has three kinds of prompts: questions are short, reviews are longer, and
+//! The timing of passes follows [`EngineModel`], whose figures are calibrated against
+//! measurements. A load has three kinds of prompts: questions are short, reviews are longer, and
 //! audits are so long that several engines must share their prefill. Its phases differ in the rates
 //! at which prompts of each kind arrive. All times are in milliseconds; points in time count from
 //! the beginning of the load.
--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -90,7 +90,7 @@
         let news = table.apply_advice(life(endpoint), advice, sent_ms, now_ms);
         drop(table);
         for news in news {
-            self.board_changed.notify_one();
+            self.broadcast_wanted.notify_one();
             self.record_advice(endpoint, client_request, news);
         }
     }
@@ -135,7 +135,7 @@
             return Ok(());
         }
         match table.permit(life(endpoint), self.now_ms()) {
-            Ok(true) => self.board_changed.notify_one(),
+            Ok(true) => self.broadcast_wanted.notify_one(),
             Ok(false) => {}
             Err(shut) => {
                 self.metrics.shut_before_dispatch.inc(shut.reason.name());
@@ -172,17 +172,17 @@
     }
 
     /// Takes the advice about endpoints in a peer's message.
-    pub(crate) fn hear_peer_advice(&self, beacon: &PeerMessage) {
+    pub(crate) fn hear_peer_advice(&self, message: &PeerMessage) {
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
-        table.observe_peer_clock(beacon.clock_ms as f64, now_ms);
-        for said in &beacon.advice {
+        table.observe_peer_clock(message.clock_ms as f64, now_ms);
+        for said in &message.advice {
             let told = PeerUpdate {
                 limit: said.word.map(|word| word_from_peer(&word, now_ms)),
                 sent_requests: said.sent,
                 is_leaving: said.leaves,
             };
-            table.apply_peer_update(beacon.from, IncarnationHash(said.endpoint), told, now_ms);
+            table.apply_peer_update(message.from, IncarnationHash(said.endpoint), told, now_ms);
         }
     }
 
--- a/crates/mgs-relay/src/broadcast.rs
+++ b/crates/mgs-relay/src/broadcast.rs
@@ -21,7 +21,7 @@
 use crate::core::Core;
 use crate::drain::Phase;
 use crate::freshness::Freshness;
-use crate::peers::Message;
+use crate::peers::Datagram;
 use crate::peers::PeerTable;
 use crate::traffic::TrafficKind;
 use crate::view::Fleet;
@@ -53,7 +53,7 @@
         broadcaster.send_whole().await;
         let whole_at = Instant::now() + WHOLE_INTERVAL;
         sleep(SEND_INTERVAL_MIN).await;
-        while timeout_at(whole_at, broadcaster.core.board_changed.notified())
+        while timeout_at(whole_at, broadcaster.core.broadcast_wanted.notified())
             .await
             .is_ok()
         {
@@ -80,41 +80,41 @@
 impl Broadcaster {
     /// Sends all that this gateway holds and what it knows of the store.
     async fn send_whole(&mut self) {
-        let beacon = self.next_beacon(true);
+        let message = self.next_message(true);
         let core = &self.core;
-        core.unreported_held.take();
+        core.unreported_loads.take();
         core.whole_wanted.set(false);
-        let mut beacon = PeerMessage {
+        let mut message = PeerMessage {
             is_whole: true,
             configuration: store_knowledge(core, core.published.configuration_freshness()),
             endpoints: store_knowledge(core, core.published.endpoint_freshness()),
             lengths: core.lengths.borrow().band_counts(core.now_ms()),
             gateways: gateways_sharing(core),
-            ..beacon
+            ..message
         };
-        let held = core.board.borrow().own_loads();
-        add_held(&mut beacon, &core.published.fleet(), held);
+        let loads = core.load_table.borrow().own_loads();
+        add_loads(&mut message, &core.published.fleet(), loads);
         // Silent peers are sent a message about once a second.
         let to_all = self.whole_messages_sent.is_multiple_of(WHOLE_TO_ALL_EVERY);
-        self.send(&encode_to_fit(beacon), to_all, TrafficKind::WholeMessages)
+        self.send(&encode_to_fit(message), to_all, TrafficKind::WholeMessages)
             .await;
         self.whole_messages_sent += 1;
     }
 
     /// Sends what this gateway has come to hold since the last message.
     async fn send_short(&mut self) {
-        let mut beacon = self.next_beacon(false);
-        let held = self.core.unreported_held.take();
-        add_held(&mut beacon, &self.core.published.fleet(), held);
-        self.send(&encode_to_fit(beacon), false, TrafficKind::ShortMessages)
+        let mut message = self.next_message(false);
+        let loads = self.core.unreported_loads.take();
+        add_loads(&mut message, &self.core.published.fleet(), loads);
+        self.send(&encode_to_fit(message), false, TrafficKind::ShortMessages)
             .await;
     }
 
     /// Starts a message with the fields that whole and short ones share.
-    fn next_beacon(&mut self, is_whole: bool) -> PeerMessage {
+    fn next_message(&mut self, is_whole: bool) -> PeerMessage {
         let core = &self.core;
         self.sequence += 1;
-        let mut beacon = PeerMessage {
+        let mut message = PeerMessage {
             from: core.incarnation,
             sequence: self.sequence,
             leaving: core.drain.phase() != Phase::Serving,
@@ -125,17 +125,17 @@
             ..PeerMessage::default()
         };
         let fleet = core.published.fleet();
-        beacon.refusals = refusals(core, &fleet, is_whole);
-        for read in core.unreported_reads.take() {
-            if let Some(endpoint) = endpoint_hash(&fleet, read.endpoint) {
-                beacon.reads.push(PrefillAt {
+        message.refusals = refusals(core, &fleet, is_whole);
+        for prefill in core.unreported_prefills.take() {
+            if let Some(endpoint) = endpoint_hash(&fleet, prefill.endpoint) {
+                message.reads.push(PrefillAt {
                     endpoint,
-                    read_ms: read.read_ms.round() as u16,
-                    reads: read.reads,
+                    read_ms: prefill.prefill_ms.round() as u16,
+                    reads: prefill.part,
                 });
             }
         }
-        beacon
+        message
     }
 
     async fn send(&self, message: &[u8], to_all: bool, kind: TrafficKind) {
@@ -182,36 +182,39 @@
     }
 }
 
-fn add_held(beacon: &mut PeerMessage, fleet: &Fleet, held: Vec<(EndpointKey, EndpointLoad)>) {
-    for (key, held) in held {
+fn add_loads(message: &mut PeerMessage, fleet: &Fleet, loads: Vec<(EndpointKey, EndpointLoad)>) {
+    for (key, load) in loads {
         if let Some(endpoint) = endpoint_hash(fleet, key) {
-            beacon.held.push(LoadAt { endpoint, held });
+            message.held.push(LoadAt {
+                endpoint,
+                held: load,
+            });
         }
     }
 }
 
-/// Encodes a message.
-pub(crate) fn encode(message: &Message) -> Vec<u8> {
-    bincode::serde::encode_to_vec(message, bincode::config::standard())
-        .expect("BUG: a message is plain data")
+/// Encodes a datagram.
+pub(crate) fn encode(datagram: &Datagram) -> Vec<u8> {
+    bincode::serde::encode_to_vec(datagram, bincode::config::standard())
+        .expect("BUG: a datagram is plain data")
 }
 
 /// Encodes a message so that it fits a datagram.
-fn encode_to_fit(mut beacon: PeerMessage) -> Vec<u8> {
+fn encode_to_fit(mut message: PeerMessage) -> Vec<u8> {
     loop {
-        let message = Message::Beacon(Box::new(beacon));
-        let encoded = encode(&message);
-        let Message::Beacon(boxed) = message else {
-            unreachable!("the message was built as a beacon")
+        let datagram = Datagram::Beacon(Box::new(message));
+        let encoded = encode(&datagram);
+        let Datagram::Beacon(boxed) = datagram else {
+            unreachable!("the datagram was built from a message")
         };
-        beacon = *boxed;
-        if encoded.len() <= MESSAGE_BYTES_MAX || beacon.held.is_empty() {
+        message = *boxed;
+        if encoded.len() <= MESSAGE_BYTES_MAX || message.held.is_empty() {
             return encoded;
         }
         // The last endpoints are left out; peers see them as less loaded until a later message.
-        let kept = beacon.held.len() * 3 / 4;
-        beacon.held.truncate(kept);
-        beacon.reads.truncate(kept.max(1));
+        let kept = message.held.len() * 3 / 4;
+        message.held.truncate(kept);
+        message.reads.truncate(kept.max(1));
     }
 }
 
--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -41,13 +41,12 @@
 /// grow with the square of the number of gateways.
 const FEW_PEERS: usize = 12;
 
-/// Prompt reading (prefill) that this gateway has placed on an endpoint and not yet reported to its
-/// peers.
+/// Prefill that this gateway has placed on an endpoint and not yet reported to its peers.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct UnreportedRead {
+pub(crate) struct UnreportedPrefill {
     pub(crate) endpoint: EndpointKey,
-    pub(crate) read_ms: f64,
-    pub(crate) reads: PrefillPart,
+    pub(crate) prefill_ms: f64,
+    pub(crate) part: PrefillPart,
 }
 
 /// The shared state of one relay.
@@ -57,16 +56,16 @@
     pub(crate) dialect: Box<dyn Dialect>,
     /// Configuration and fleet, as the thread that follows the store publishes them.
     pub(crate) published: Arc<Published>,
-    /// Work placed on each endpoint by this gateway and its peers.
-    pub(crate) board: RefCell<LoadTable>,
-    /// Prompt reading placed since the last message to peers.
-    pub(crate) unreported_reads: RefCell<Vec<UnreportedRead>>,
-    /// What this gateway has come to hold on endpoints since its last message to peers.
-    pub(crate) unreported_held: RefCell<Vec<(EndpointKey, EndpointLoad)>>,
+    /// Load placed on each endpoint by this gateway and its peers.
+    pub(crate) load_table: RefCell<LoadTable>,
+    /// Prefill placed since the last message to peers.
+    pub(crate) unreported_prefills: RefCell<Vec<UnreportedPrefill>>,
+    /// Load that this gateway has placed on endpoints since its last message to peers.
+    pub(crate) unreported_loads: RefCell<Vec<(EndpointKey, EndpointLoad)>>,
     /// Whether the next message to peers must be a whole one and must be sent at once.
     pub(crate) whole_wanted: Cell<bool>,
-    /// Wakes the broadcast task: work was placed, or the queue of waiting prompts has changed.
-    pub(crate) board_changed: Notify,
+    /// Wakes the broadcast task: load was placed, or the queue of waiting prompts has changed.
+    pub(crate) broadcast_wanted: Notify,
     /// Prompts queued at this gateway for their turn, by serial number.
     pub(crate) waiting: RefCell<HashMap<u64, Score>>,
     /// Short prompts queued at this gateway for a spare place on an engine, by serial number.
@@ -77,7 +76,7 @@
     pub(crate) lengths: RefCell<LengthCounter>,
     /// Failing endpoints that are skipped for a while.
     pub(crate) outliers: OutlierDetector,
-    /// Endpoints that refuse to read parts of prompts that other endpoints answer.
+    /// Endpoints that refuse to prefill parts of prompts that other endpoints answer.
     pub(crate) helpers: RefCell<HelperRefusals>,
     /// Rate limits, pauses and shutdown notices that endpoints ask their senders to observe.
     pub(crate) backpressure: RefCell<Backpressure>,
@@ -119,10 +118,10 @@
         Some(self.now_whole_ms().saturating_sub(age_ms))
     }
 
-    /// Records that an endpoint refused to read a part of a prompt, and returns the likely reason.
+    /// Records that an endpoint refused to prefill a part of a prompt, and returns the likely reason.
     /// `is_reserved` says whether memory had been reserved at the endpoint for that prompt.
     pub(crate) fn help_refused(&self, endpoint: &Endpoint, is_reserved: bool) -> RefusalReason {
-        let parts = u32::from(self.board.borrow().load(endpoint.key).parts);
+        let parts = u32::from(self.load_table.borrow().load(endpoint.key).parts);
         let reason = match (parts >= endpoint.facts.slots, is_reserved) {
             (true, _) => RefusalReason::Busy,
             (false, true) => RefusalReason::Reservation,
@@ -133,7 +132,7 @@
         self.helpers
             .borrow_mut()
             .record_refusal(endpoint.key, reason, now_ms);
-        self.board_changed.notify_one();
+        self.broadcast_wanted.notify_one();
         reason
     }
 
@@ -157,31 +156,33 @@
         f64::from(self.random.borrow_mut().next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// Records prompt reading that this gateway has placed on an endpoint, and queues it for the
+    /// Records prefill that this gateway has placed on an endpoint, and queues it for the
     /// next message to peers.
-    pub(crate) fn place_read(&self, endpoint: EndpointKey, read_ms: f64, reads: PrefillPart) {
+    pub(crate) fn place_prefill(&self, endpoint: EndpointKey, prefill_ms: f64, part: PrefillPart) {
         let now_ms = self.now_ms();
-        self.board
+        self.load_table
             .borrow_mut()
-            .add_prefill(endpoint, now_ms, read_ms);
-        self.unreported_reads.borrow_mut().push(UnreportedRead {
-            endpoint,
-            read_ms,
-            reads,
-        });
-        self.board_changed.notify_one();
+            .add_prefill(endpoint, now_ms, prefill_ms);
+        self.unreported_prefills
+            .borrow_mut()
+            .push(UnreportedPrefill {
+                endpoint,
+                prefill_ms,
+                part,
+            });
+        self.broadcast_wanted.notify_one();
     }
 
     /// Whether there are few enough peers to broadcast every change to all of them.
     pub(crate) fn has_few_peers(&self) -> bool {
-        self.board.borrow().peer_count() < FEW_PEERS
+        self.load_table.borrow().peer_count() < FEW_PEERS
     }
 
     /// Requests a whole message to peers, since endpoints that peers may be waiting for are free
     /// again.
     pub(crate) fn announce_freed(&self) {
         self.whole_wanted.set(true);
-        self.board_changed.notify_one();
+        self.broadcast_wanted.notify_one();
     }
 
     /// The scores of the prompts that are first in the queue of this gateway.
@@ -197,7 +198,7 @@
     /// gateways.
     pub(crate) fn sent_ratio(&self, band: LengthBand) -> f64 {
         let mut counts = self.lengths.borrow().counts(self.now_ms());
-        self.board.borrow().add_length_counts(&mut counts);
+        self.load_table.borrow().add_length_counts(&mut counts);
         counts.sent_ratio(band)
     }
 
--- a/crates/mgs-relay/src/crash_gossip.rs
+++ b/crates/mgs-relay/src/crash_gossip.rs
@@ -20,7 +20,7 @@
 use crate::broadcast::send_to;
 use crate::broadcast::MESSAGE_BYTES_MAX;
 use crate::core::Core;
-use crate::peers::Message;
+use crate::peers::Datagram;
 use crate::peers::PeerTable;
 use crate::traffic::TrafficKind;
 
@@ -99,29 +99,29 @@
 
     async fn send(&self, works: &[Fingerprint], peers: &[SocketAddr]) {
         let reports = self.core.crashes.reports(works, self.core.now_ms());
-        for message in split_into_messages(self.core.incarnation, reports) {
+        for datagram in split_into_datagrams(self.core.incarnation, reports) {
             let kind = TrafficKind::CrashMessages;
-            send_to(&self.core, &self.socket, &message, peers, kind).await;
+            send_to(&self.core, &self.socket, &datagram, peers, kind).await;
         }
     }
 }
 
-/// Encodes reports as messages that fit a datagram each.
-fn split_into_messages(from: u64, works: Vec<SharedRecord>) -> Vec<Vec<u8>> {
-    let mut messages = Vec::new();
+/// Encodes reports as datagrams of at most [`MESSAGE_BYTES_MAX`] bytes.
+fn split_into_datagrams(from: u64, works: Vec<SharedRecord>) -> Vec<Vec<u8>> {
+    let mut datagrams = Vec::new();
     let mut rest = works;
     while !rest.is_empty() {
         let mut count = rest.len();
         loop {
             let works = rest[..count].to_vec();
-            let message = encode(&Message::Crashes { from, works });
-            if message.len() <= MESSAGE_BYTES_MAX || count == 1 {
-                messages.push(message);
+            let datagram = encode(&Datagram::Crashes { from, works });
+            if datagram.len() <= MESSAGE_BYTES_MAX || count == 1 {
+                datagrams.push(datagram);
                 break;
             }
             count = count.div_ceil(2);
         }
         rest.drain(..count);
     }
-    messages
+    datagrams
 }
--- a/crates/mgs-relay/src/freshness.rs
+++ b/crates/mgs-relay/src/freshness.rs
@@ -25,7 +25,7 @@
 
 /// What a peer reports about one topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PeerReport {
+pub struct TopicReport {
     /// Identifies the content: a version or a hash, see [`ContentKind`].
     pub content_id: u64,
     /// When the store confirmed it, in milliseconds on this process's clock.
@@ -52,7 +52,7 @@
     confirmed_ms: AtomicU64,
     store_lost_ms: AtomicU64,
     /// The report with the latest confirmation among those received.
-    latest_report: ArcSwapOption<PeerReport>,
+    latest_report: ArcSwapOption<TopicReport>,
     /// The reported content for which a pending long poll was last given up.
     aborted_for: AtomicU64,
     notify: Notify,
@@ -130,7 +130,7 @@
     }
 
     /// Takes the report of a peer. A report of the content that is known here confirms it.
-    pub fn record_report(&self, report: PeerReport) {
+    pub fn record_report(&self, report: TopicReport) {
         if report.content_id == self.content_id() {
             self.confirm(report.confirmed_ms);
         }
@@ -156,18 +156,18 @@
     /// ```
     /// use mgs_relay::freshness::ContentKind;
     /// use mgs_relay::freshness::Freshness;
-    /// use mgs_relay::freshness::PeerReport;
+    /// use mgs_relay::freshness::TopicReport;
     ///
     /// let freshness = Freshness::new(ContentKind::Versions);
     /// freshness.set_content_id(7);
     /// let from = ([127, 0, 0, 1], 1).into();
-    /// let report = |content_id| PeerReport { content_id, confirmed_ms: 100, from };
+    /// let report = |content_id| TopicReport { content_id, confirmed_ms: 100, from };
     /// freshness.record_report(report(7));
     /// assert_eq!(freshness.newer_report(), None);
     /// freshness.record_report(report(8));
     /// assert_eq!(freshness.newer_report(), Some(report(8)));
     /// ```
-    pub fn newer_report(&self) -> Option<PeerReport> {
+    pub fn newer_report(&self) -> Option<TopicReport> {
         let report = self.latest_report.load().as_deref().copied()?;
         let own = self.content_id();
         let own_ms = self.confirmed_ms.load(Ordering::Relaxed);
--- a/crates/mgs-relay/src/load_guard.rs
+++ b/crates/mgs-relay/src/load_guard.rs
@@ -1,4 +1,4 @@
-//! The load that one dispatch adds to the board, removed when dropped.
+//! The load that one dispatch adds to the load table, removed when dropped.
 
 use std::rc::Rc;
 
@@ -7,60 +7,60 @@
 use mgs_placing::peer_message::PrefillPart;
 
 use crate::core::Core;
-use crate::core::UnreportedRead;
+use crate::core::UnreportedPrefill;
 
-/// Load that one dispatch holds on the board.
+/// Load that one dispatch has in the load table.
 pub(crate) struct LoadGuard {
     core: Rc<Core>,
-    held: Vec<(EndpointKey, EndpointLoad)>,
-    /// Predicted reading at each endpoint that isn't known to be done, in milliseconds.
-    read_ms: f64,
-    readers: Vec<EndpointKey>,
-    /// Whether several endpoints read the prompt; long prompts at peers wait for such engines.
+    loads: Vec<(EndpointKey, EndpointLoad)>,
+    /// Predicted prefill at each endpoint that isn't known to be done, in milliseconds.
+    prefill_ms: f64,
+    prefill_endpoints: Vec<EndpointKey>,
+    /// Whether several endpoints prefill the prompt; long prompts at peers wait for such engines.
     is_shared: bool,
 }
 
 impl LoadGuard {
-    /// Adds the load to the board and announces the reading to peers.
+    /// Adds the load to the load table and announces the prefill to peers.
     pub(crate) fn take(
         core: &Rc<Core>,
-        held: Vec<(EndpointKey, EndpointLoad)>,
-        readers: Vec<EndpointKey>,
-        read_ms: f64,
+        loads: Vec<(EndpointKey, EndpointLoad)>,
+        prefill_endpoints: Vec<EndpointKey>,
+        prefill_ms: f64,
     ) -> Self {
-        // Reading is added first: an engine without streams to write starts to read at once.
-        for endpoint in &readers {
-            let reads = reads(&held, readers.len(), *endpoint);
-            core.place_read(*endpoint, read_ms, reads);
+        // Prefill is added first: an engine without streams to decode starts to prefill at once.
+        for endpoint in &prefill_endpoints {
+            let part = prefill_part(&loads, prefill_endpoints.len(), *endpoint);
+            core.place_prefill(*endpoint, prefill_ms, part);
         }
-        for (endpoint, load) in &held {
-            core.board.borrow_mut().add_own(*endpoint, load);
-            core.unreported_held
+        for (endpoint, load) in &loads {
+            core.load_table.borrow_mut().add_own(*endpoint, load);
+            core.unreported_loads
                 .borrow_mut()
                 .push((*endpoint, load.clone()));
         }
-        core.board_changed.notify_one();
+        core.broadcast_wanted.notify_one();
         Self {
             core: core.clone(),
-            held,
-            read_ms,
-            is_shared: readers.len() > 1,
-            readers,
+            loads,
+            prefill_ms,
+            is_shared: prefill_endpoints.len() > 1,
+            prefill_endpoints,
         }
     }
 
-    /// Records the first token: all parts have been read. If there were several, peers are told at
+    /// Records the first token: all parts are prefilled. If there were several, peers are told at
     /// once, since other prompts wait for free engines. The end of a short prompt can wait for the
     /// next whole message where there are many peers.
     pub(crate) fn record_first_token(&mut self) {
-        self.readers.clear();
-        let mut board = self.core.board.borrow_mut();
-        let is_part = |held: &EndpointLoad| held.parts > 0;
-        for (endpoint, held) in self.held.iter().filter(|(_, held)| is_part(held)) {
-            board.remove_own(*endpoint, held);
+        self.prefill_endpoints.clear();
+        let mut load_table = self.core.load_table.borrow_mut();
+        let is_part = |load: &EndpointLoad| load.parts > 0;
+        for (endpoint, load) in self.loads.iter().filter(|(_, load)| is_part(load)) {
+            load_table.remove_own(*endpoint, load);
         }
-        self.held.retain(|(_, held)| !is_part(held));
-        drop(board);
+        self.loads.retain(|(_, load)| !is_part(load));
+        drop(load_table);
         self.tell_freed();
     }
 
@@ -72,14 +72,15 @@
     }
 }
 
-/// What one of the `readers` endpoints reads of a prompt.
-fn reads(
-    held: &[(EndpointKey, EndpointLoad)],
-    readers: usize,
+/// How much of a prompt one of its `endpoint_count` prefill endpoints prefills.
+fn prefill_part(
+    loads: &[(EndpointKey, EndpointLoad)],
+    endpoint_count: usize,
     endpoint: EndpointKey,
 ) -> PrefillPart {
-    let writes = |(key, held): &(EndpointKey, EndpointLoad)| *key == endpoint && held.running() > 0;
-    match (readers, held.iter().any(writes)) {
+    let decodes =
+        |(key, load): &(EndpointKey, EndpointLoad)| *key == endpoint && load.running() > 0;
+    match (endpoint_count, loads.iter().any(decodes)) {
         (1, _) => PrefillPart::Whole,
         (_, true) => PrefillPart::FirstPart,
         (_, false) => PrefillPart::Part,
@@ -89,20 +90,23 @@
 impl Drop for LoadGuard {
     fn drop(&mut self) {
         let now_ms = self.core.now_ms();
-        let mut board = self.core.board.borrow_mut();
-        for (endpoint, held) in &self.held {
-            board.remove_own(*endpoint, held);
+        let mut load_table = self.core.load_table.borrow_mut();
+        for (endpoint, load) in &self.loads {
+            load_table.remove_own(*endpoint, load);
         }
-        for endpoint in &self.readers {
-            board.correct_prefill(*endpoint, now_ms, self.read_ms);
+        for endpoint in &self.prefill_endpoints {
+            load_table.correct_prefill(*endpoint, now_ms, self.prefill_ms);
         }
-        drop(board);
-        let given_up = self.readers.iter().map(|endpoint| UnreportedRead {
-            endpoint: *endpoint,
-            read_ms: self.read_ms,
-            reads: PrefillPart::GivenUp,
-        });
-        self.core.unreported_reads.borrow_mut().extend(given_up);
+        drop(load_table);
+        let given_up = self
+            .prefill_endpoints
+            .iter()
+            .map(|endpoint| UnreportedPrefill {
+                endpoint: *endpoint,
+                prefill_ms: self.prefill_ms,
+                part: PrefillPart::GivenUp,
+            });
+        self.core.unreported_prefills.borrow_mut().extend(given_up);
         self.tell_freed();
     }
 }
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -1,4 +1,4 @@
-//! Receives messages of peers over UDP: the work that each has placed, and what it knows of the
+//! Receives messages of peers over UDP: the load that each has placed, and what it knows of the
 //! store. [`crate::broadcast`] sends this gateway's messages.
 
 use std::cell::RefCell;
@@ -27,7 +27,7 @@
 use crate::core::Core;
 use crate::crash_gossip;
 use crate::freshness::Freshness;
-use crate::freshness::PeerReport;
+use crate::freshness::TopicReport;
 use crate::traffic::TrafficKind;
 
 /// Time without a message from a peer after which it is sent messages about once a second only, in
@@ -44,8 +44,8 @@
 
 /// A datagram between gateways.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) enum Message {
-    /// The work that the sender has placed, and what it knows of the store.
+pub(crate) enum Datagram {
+    /// The load that the sender has placed, and what it knows of the store.
     Beacon(Box<PeerMessage>),
     /// Requests that have crashed endpoints.
     Crashes {
@@ -89,8 +89,8 @@
     }
 
     /// Incarnations of the peers that are heard and aren't shutting down.
-    fn staying(&self, board: &LoadTable) -> Vec<u64> {
-        let stay = |peer: &&PeerKey| board.knows_peer(**peer) && !self.leaving.contains(peer);
+    fn staying(&self, load_table: &LoadTable) -> Vec<u64> {
+        let stay = |peer: &&PeerKey| load_table.knows_peer(**peer) && !self.leaving.contains(peer);
         let mut staying: Vec<u64> = self
             .last_sequences
             .keys()
@@ -144,8 +144,10 @@
             bincode::config::standard().with_limit::<65_536>(),
         );
         match decoded {
-            Ok((Message::Beacon(beacon), _)) => handle_beacon(&core, &peer_table, from, &beacon),
-            Ok((Message::Crashes { from, works }, _)) => {
+            Ok((Datagram::Beacon(message), _)) => {
+                handle_message(&core, &peer_table, from, &message)
+            }
+            Ok((Datagram::Crashes { from, works }, _)) => {
                 if from != core.incarnation {
                     core.record_peer_crashes(&works);
                 }
@@ -158,29 +160,29 @@
     }
 }
 
-fn handle_beacon(
+fn handle_message(
     core: &Core,
     peer_table: &RefCell<PeerTable>,
     from: SocketAddr,
-    beacon: &PeerMessage,
+    message: &PeerMessage,
 ) {
-    if beacon.from == core.incarnation {
+    if message.from == core.incarnation {
         return;
     }
-    let peer = PeerKey(beacon.from);
+    let peer = PeerKey(message.from);
     let now_ms = core.now_ms();
     let mut peer_table = peer_table.borrow_mut();
-    let before = peer_table.last_sequences.insert(peer, beacon.sequence);
-    if let Some(newest) = before.filter(|newest| *newest >= beacon.sequence) {
+    let before = peer_table.last_sequences.insert(peer, message.sequence);
+    if let Some(newest) = before.filter(|newest| *newest >= message.sequence) {
         peer_table.last_sequences.insert(peer, newest);
         return;
     }
-    if beacon.leaving {
+    if message.leaving {
         peer_table.leaving.insert(peer);
     }
     let contact = PeerContact {
         at_ms: now_ms,
-        is_leaving: beacon.leaving,
+        is_leaving: message.leaving,
     };
     let was_silent = peer_table
         .contacts
@@ -193,66 +195,66 @@
     if was_silent {
         log::info!(peer:% = from; "a peer is heard");
     }
-    if beacon.is_whole {
-        record_peer_reports(core, from, beacon);
+    if message.is_whole {
+        record_peer_reports(core, from, message);
     }
-    if let Some(gateways) = beacon.gateways {
+    if let Some(gateways) = message.gateways {
         core.gateway_count
             .borrow_mut()
             .record_reported(gateways as usize);
     }
-    core.hear_peer_advice(beacon);
+    core.hear_peer_advice(message);
     let fleet = core.published.fleet();
     let by_hash = core.published.endpoint_keys_by_hash();
     let key_of = |hash: u64| by_hash.get(&hash).copied();
-    let held: Vec<(EndpointKey, EndpointLoad)> = beacon
+    let loads: Vec<(EndpointKey, EndpointLoad)> = message
         .held
         .iter()
         .filter_map(|at| Some((key_of(at.endpoint)?, at.held.clone())))
         .collect();
-    let mut board = core.board.borrow_mut();
-    for read in &beacon.reads {
-        if let Some(key) = key_of(read.endpoint).filter(|key| fleet.by_key.contains_key(key)) {
-            let read_ms = f64::from(read.read_ms);
-            board.add_peer_prefill(key, now_ms, read_ms, read.reads);
+    let mut load_table = core.load_table.borrow_mut();
+    for prefill in &message.reads {
+        if let Some(key) = key_of(prefill.endpoint).filter(|key| fleet.by_key.contains_key(key)) {
+            let prefill_ms = f64::from(prefill.read_ms);
+            load_table.add_peer_prefill(key, now_ms, prefill_ms, prefill.reads);
         }
     }
-    for refused in &beacon.refusals {
+    for refused in &message.refusals {
         if let Some(key) = key_of(refused.endpoint) {
             let age_ms = u64::from(refused.age_ms) + TRANSIT_MS;
             let at_ms = core.now_whole_ms().saturating_sub(age_ms);
             core.helpers.borrow_mut().record_peer_refusal(key, at_ms);
         }
     }
-    if !beacon.is_whole {
-        board.extend_peer(peer, now_ms, beacon.waiting, held);
+    if !message.is_whole {
+        load_table.extend_peer(peer, now_ms, message.waiting, loads);
         return;
     }
-    let said = load_table::PeerReport {
-        zone: beacon.zone,
-        waiting: beacon.waiting,
-        lengths: beacon.lengths.clone(),
-        loads: held,
+    let report = load_table::PeerReport {
+        zone: message.zone,
+        waiting: message.waiting,
+        lengths: message.lengths.clone(),
+        loads,
     };
-    board.replace_peer(peer, now_ms, said);
+    load_table.replace_peer(peer, now_ms, report);
 }
 
 /// Takes what a peer knows of the store.
-fn record_peer_reports(core: &Core, from: SocketAddr, beacon: &PeerMessage) {
+fn record_peer_reports(core: &Core, from: SocketAddr, message: &PeerMessage) {
     let published = &core.published;
     let now_ms = core.now_whole_ms();
     let record = |freshness: &Freshness, knows: Option<TopicVersion>| {
         let Some(knows) = knows else {
             return;
         };
-        freshness.record_report(PeerReport {
+        freshness.record_report(TopicReport {
             content_id: knows.content,
             confirmed_ms: now_ms.saturating_sub(u64::from(knows.age_ms) + TRANSIT_MS),
             from,
         });
     };
-    record(published.configuration_freshness(), beacon.configuration);
-    record(published.endpoint_freshness(), beacon.endpoints);
+    record(published.configuration_freshness(), message.configuration);
+    record(published.endpoint_freshness(), message.endpoints);
 }
 
 /// Updates whether this gateway is a reader, and wakes the followers of topics whose content has
@@ -281,11 +283,11 @@
         sleep(INTERVAL).await;
         let now_ms = core.now_ms();
         let (silent, peers) = {
-            let mut board = core.board.borrow_mut();
-            (board.expire_peers(now_ms), board.peer_count())
+            let mut load_table = core.load_table.borrow_mut();
+            (load_table.expire_peers(now_ms), load_table.peer_count())
         };
         refresh_reader_role(&core, &peer_table.borrow());
-        let staying = peer_table.borrow().staying(&core.board.borrow());
+        let staying = peer_table.borrow().staying(&core.load_table.borrow());
         core.share_limits(staying);
         core.helpers.borrow_mut().expire(core.now_whole_ms());
         for peer in silent {
--- a/crates/mgs-relay/src/place.rs
+++ b/crates/mgs-relay/src/place.rs
@@ -1,4 +1,4 @@
-//! Chooses the endpoints of a request: prepares the fleet and the load board for `mgs-placing`.
+//! Chooses the endpoints of a request: prepares the fleet and the load table for `mgs-placing`.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -131,25 +131,25 @@
         on_trial: is_on_trial(core, endpoint),
     };
     let candidates: Vec<plain::Candidate> = endpoints.iter().map(candidate).collect();
-    let chosen = plain::choose_endpoint(&candidates, &core.board.borrow());
+    let chosen = plain::choose_endpoint(&candidates, &core.load_table.borrow());
     let endpoint = chosen
         .and_then(|key| fleet.by_key.get(&key))
         .ok_or_else(no_endpoint)?;
     log::info!(
         request_id = request_id,
         endpoint = endpoint.facts.incarnation.id,
-        running_calls = core.board.borrow().load(endpoint.key).calls,
+        running_calls = core.load_table.borrow().load(endpoint.key).calls,
         usable_endpoints = candidates.len(),
         shut_endpoints = present.len() - open.len(),
         tried = tried.len(),
         fleet_age_ms = core.published.fleet_age_ms().unwrap_or(u64::MAX);
         "placed"
     );
-    let held = EndpointLoad {
+    let load = EndpointLoad {
         calls: 1,
         ..EndpointLoad::default()
     };
-    let load_guard = LoadGuard::take(core, vec![(endpoint.key, held)], Vec::new(), 0.0);
+    let load_guard = LoadGuard::take(core, vec![(endpoint.key, load)], Vec::new(), 0.0);
     Ok(PlacedRequest {
         endpoint: endpoint.clone(),
         helpers: Vec::new(),
@@ -211,7 +211,7 @@
         {
             return placed_request(&fleet, placement, load_guard, taken);
         }
-        // An engine that refused has less memory free than the board shows.
+        // An engine that refused has less memory free than the load table shows.
         avoided.push(placement.lead);
     }
     Err(Refusal::after(Fault::Full, wait::RETRY_AFTER_MIN_MS))
@@ -232,16 +232,16 @@
         memory_tokens: saturating_u32(at_first),
         ..EndpointLoad::default()
     };
-    let mut held = vec![(placement.lead, writer)];
+    let mut loads = vec![(placement.lead, writer)];
     for reserve in &placement.reservations {
         let memory = EndpointLoad {
             memory_tokens: saturating_u32(reserve.tokens),
             ..EndpointLoad::default()
         };
-        held.push((reserve.endpoint, memory));
+        loads.push((reserve.endpoint, memory));
     }
-    let mut readers = placement.helpers.clone();
-    readers.push(placement.lead);
+    let mut prefill_endpoints = placement.helpers.clone();
+    prefill_endpoints.push(placement.lead);
     if !placement.helpers.is_empty() {
         let part = EndpointLoad {
             parts: 1,
@@ -249,9 +249,9 @@
             shared_read_ms: placement.prefill_ms as u32,
             ..EndpointLoad::default()
         };
-        held.extend(readers.iter().map(|key| (*key, part.clone())));
+        loads.extend(prefill_endpoints.iter().map(|key| (*key, part.clone())));
     }
-    LoadGuard::take(core, held, readers, placement.prefill_ms)
+    LoadGuard::take(core, loads, prefill_endpoints, placement.prefill_ms)
 }
 
 fn saturating_u32(tokens: u64) -> u32 {
--- a/crates/mgs-relay/src/place_log.rs
+++ b/crates/mgs-relay/src/place_log.rs
@@ -95,7 +95,7 @@
         usable_engines = usable,
         tried = prompt.tried.len(),
         waiting_here = core.waiting.borrow().len(),
-        peers = core.board.borrow().peer_count(),
+        peers = core.load_table.borrow().peer_count(),
         fleet_age_ms = core.published.fleet_age_ms().unwrap_or(u64::MAX);
         "not placed"
     );
@@ -142,7 +142,7 @@
         is_late = placement.is_late,
         backlog_ms = placement.snapshot.backlog_ms,
         fleet_age_ms = core.published.fleet_age_ms().unwrap_or(u64::MAX),
-        peers = core.board.borrow().peer_count();
+        peers = core.load_table.borrow().peer_count();
         "placed"
     );
 }
--- a/crates/mgs-relay/src/quarantine.rs
+++ b/crates/mgs-relay/src/quarantine.rs
@@ -214,8 +214,8 @@
     fn is_first_for(&self, work: Fingerprint) -> bool {
         let rank = |gateway: u64| xxh3_64_with_seed(&work.0.to_le_bytes(), gateway);
         let own = rank(self.incarnation);
-        let board = self.board.borrow();
-        let mut peers = board.peer_keys();
+        let load_table = self.load_table.borrow();
+        let mut peers = load_table.peer_keys();
         peers.all(|peer| rank(peer.0) < own)
     }
 
--- a/crates/mgs-relay/src/stream.rs
+++ b/crates/mgs-relay/src/stream.rs
@@ -233,7 +233,9 @@
         core.record_progress(self.dispatcher.work, || self.reached());
         let now_ms = core.now_ms();
         let engine = self.placed.endpoint.key;
-        core.board.borrow_mut().record_stream_event(engine, now_ms);
+        core.load_table
+            .borrow_mut()
+            .record_stream_event(engine, now_ms);
         self.last_event_at = Instant::now();
     }
 
--- a/crates/mgs-relay/src/wait.rs
+++ b/crates/mgs-relay/src/wait.rs
@@ -178,7 +178,7 @@
     fn list(&self, score: Score) -> bool {
         let before = self.core.waiting.borrow_mut().insert(self.number, score);
         if before != Some(score) {
-            self.core.board_changed.notify_one();
+            self.core.broadcast_wanted.notify_one();
         }
         before.is_none()
     }
@@ -231,10 +231,10 @@
         let here = others.fold(QueueHeads::default(), |firsts, (_, score)| {
             firsts.with_score(*score)
         });
-        let board = self.core.board.borrow();
+        let load_table = self.core.load_table.borrow();
         here.merge(match scope {
-            Scope::Zone => board.peer_heads_in(self.core.zone),
-            Scope::Fleet => board.peer_heads(),
+            Scope::Zone => load_table.peer_heads_in(self.core.zone),
+            Scope::Fleet => load_table.peer_heads(),
         })
     }
 }
@@ -242,7 +242,7 @@
 /// Gateways that share the engines considered for a prompt, this one included.
 fn gateways(core: &Core, scope: Scope) -> usize {
     match scope {
-        Scope::Zone => core.board.borrow().peer_count_in(core.zone) + 1,
+        Scope::Zone => core.load_table.borrow().peer_count_in(core.zone) + 1,
         Scope::Fleet => core.gateway_count.borrow().heard_gateways(),
     }
 }
@@ -255,7 +255,7 @@
             .remove(&self.number);
         let waited = self.core.waiting.borrow_mut().remove(&self.number);
         if waited.is_some() {
-            self.core.board_changed.notify_one();
+            self.core.broadcast_wanted.notify_one();
         }
     }
 }
@@ -290,10 +290,18 @@
         own_zone: &all[..near],
         all: &all,
     };
-    let board = core.board.borrow();
+    let load_table = core.load_table.borrow();
     let options = &core.options.placing;
     let (draw, now_ms) = (core.random_unit(), core.now_ms());
-    let chosen = place_prompt(need, &field, &board, prompt.model, options, draw, now_ms);
+    let chosen = place_prompt(
+        need,
+        &field,
+        &load_table,
+        prompt.model,
+        options,
+        draw,
+        now_ms,
+    );
     chosen.map_err(|no_place| {
         let refusal = refusal_for(no_place);
         place_log::not_placed(prompt, need, all.len(), &no_place, &refusal);
@@ -327,9 +335,9 @@
 /// Records the pass duration of the candidates; it is the same for all engines of a service.
 fn register_pass_times(core: &Core, candidates: &[Candidate], model: &EngineModel) {
     let pass_ms = model.min_pass_ms();
-    let mut board = core.board.borrow_mut();
+    let mut load_table = core.load_table.borrow_mut();
     for candidate in candidates {
-        board.set_pass_ms(candidate.key, pass_ms);
+        load_table.set_pass_ms(candidate.key, pass_ms);
     }
 }
 
--- a/crates/mgs-relay/tests/freshness.rs
+++ b/crates/mgs-relay/tests/freshness.rs
@@ -4,14 +4,14 @@
 
 use mgs_relay::freshness::ContentKind;
 use mgs_relay::freshness::Freshness;
-use mgs_relay::freshness::PeerReport;
+use mgs_relay::freshness::TopicReport;
 use mgs_relay::freshness::STALE_MS;
 use rstest::rstest;
 use tokio::runtime::Builder;
 use tokio::time::timeout;
 
-fn report(content_id: u64, confirmed_ms: u64) -> PeerReport {
-    PeerReport {
+fn report(content_id: u64, confirmed_ms: u64) -> TopicReport {
+    TopicReport {
         content_id,
         confirmed_ms,
         from: ([127, 0, 0, 1], 7).into(),
--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -255,7 +255,7 @@
         tokio::select! {
             _ = terminate.recv() => return,
             _ = hangup.recv() => reloader.reload("signal"),
-            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => reloader.reload("poll"),
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => reloader.reload("look"),
         }
     }
 }
