--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -30,37 +30,43 @@
 use crate::wait::RETRY_AFTER_MAX_MS;
 use crate::wait::RETRY_AFTER_MIN_MS;
 
-/// Endpoints that may not be sent a request now, because they leave, asked for a rest or reached a
-/// limit.
+/// Endpoints that may not be sent a request now, because they leave, asked for a backoff or reached
+/// a limit.
 #[derive(Debug, Default)]
-pub(crate) struct ShutEndpoints(HashMap<EndpointKey, Blocked>);
+pub(crate) struct BlockedEndpoints(HashMap<EndpointKey, Blocked>);
 
-impl ShutEndpoints {
+impl BlockedEndpoints {
     /// Whether the endpoint may get no request of its own.
     pub(crate) fn contains(&self, endpoint: &Endpoint) -> bool {
         self.0.contains_key(&endpoint.key)
     }
 
     /// Whether the endpoint may get nothing at all, not even a request to help.
-    pub(crate) fn bars_help(&self, endpoint: &Endpoint) -> bool {
-        let shut = self.0.get(&endpoint.key);
-        shut.is_some_and(|shut| shut.reason.blocks_helpers())
+    pub(crate) fn blocks_help(&self, endpoint: &Endpoint) -> bool {
+        let blocked = self.0.get(&endpoint.key);
+        blocked.is_some_and(|blocked| blocked.reason.blocks_helpers())
     }
 
-    /// Builds the refusal of a request whose endpoints are all shut. The client may retry when the
-    /// first of them opens, or sooner, since the rest may have been asked of this gateway only.
+    /// Builds the refusal of a request whose endpoints are all blocked. The client may retry when
+    /// the first of them isn't blocked any more, or sooner, since the backoff may have been asked of
+    /// this gateway only.
     pub(crate) fn refusal<'a>(
         &self,
         endpoints: impl IntoIterator<Item = &'a Arc<Endpoint>>,
         request_id: &str,
     ) -> Refusal {
-        let shuts = endpoints.into_iter().filter_map(|e| self.0.get(&e.key));
-        let shuts: Vec<&Blocked> = shuts.collect();
-        let count = |reason: BlockReason| shuts.iter().filter(|shut| shut.reason == reason).count();
-        let opens_in_ms = shuts.iter().map(|shut| shut.blocked_for_ms);
-        let opens_in_ms = opens_in_ms.fold(f64::INFINITY, f64::min);
-        let retry_after_ms = match opens_in_ms.is_finite() {
-            true => (opens_in_ms as u64).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS),
+        let blocked = endpoints.into_iter().filter_map(|e| self.0.get(&e.key));
+        let blocked: Vec<&Blocked> = blocked.collect();
+        let count = |reason: BlockReason| {
+            blocked
+                .iter()
+                .filter(|blocked| blocked.reason == reason)
+                .count()
+        };
+        let blocked_for_ms = blocked.iter().map(|blocked| blocked.blocked_for_ms);
+        let blocked_for_ms = blocked_for_ms.fold(f64::INFINITY, f64::min);
+        let retry_after_ms = match blocked_for_ms.is_finite() {
+            true => (blocked_for_ms as u64).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS),
             false => RETRY_AFTER_NO_ENDPOINT_MS,
         };
         log::info!(
@@ -71,7 +77,7 @@
             retry_after_ms = retry_after_ms;
             "all endpoints are shut"
         );
-        Refusal::after(Fault::Shut, retry_after_ms)
+        Refusal::after(Fault::Blocked, retry_after_ms)
     }
 }
 
@@ -87,11 +93,11 @@
         let advice = self.dialect.advice(client_request, head);
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
-        let news = table.apply_advice(life(endpoint), advice, sent_ms, now_ms);
+        let changes = table.apply_advice(incarnation(endpoint), advice, sent_ms, now_ms);
         drop(table);
-        for news in news {
+        for change in changes {
             self.broadcast_wanted.notify_one();
-            self.record_advice(endpoint, client_request, news);
+            self.record_advice(endpoint, client_request, change);
         }
     }
 
@@ -99,33 +105,35 @@
         &self,
         endpoint: &Endpoint,
         client_request: &ClientRequest,
-        news: AdviceChange,
+        change: AdviceChange,
     ) {
-        self.metrics.advice.inc(news.name());
-        let (limit_per_s, rest_ms) = match news {
+        self.metrics.advice.inc(change.name());
+        let (limit_per_s, backoff_ms) = match change {
             AdviceChange::Limited(per_s) => (per_s, 0.0),
-            AdviceChange::BackoffRequested(rest_ms) => (0.0, rest_ms),
+            AdviceChange::BackoffRequested(backoff_ms) => (0.0, backoff_ms),
             _ => (0.0, 0.0),
         };
         log::info!(
             endpoint = endpoint.facts.incarnation.id,
             request_id = client_request.request_id,
-            news = news.name(),
+            news = change.name(),
             limit_per_s = limit_per_s,
-            rest_ms = rest_ms;
+            rest_ms = backoff_ms;
             "an endpoint says of itself"
         );
     }
 
     /// Endpoints that may not be sent a request now.
-    pub(crate) fn shut(&self) -> ShutEndpoints {
+    pub(crate) fn blocked_endpoints(&self) -> BlockedEndpoints {
         if self.backpressure.borrow().is_empty() {
-            return ShutEndpoints::default();
+            return BlockedEndpoints::default();
         }
         let by_hash = self.published.endpoint_keys_by_hash();
-        let shut = self.backpressure.borrow_mut().blocked(self.now_ms());
-        let keyed = |(life, shut): (IncarnationHash, Blocked)| Some((*by_hash.get(&life.0)?, shut));
-        ShutEndpoints(shut.into_iter().filter_map(keyed).collect())
+        let blocked = self.backpressure.borrow_mut().blocked(self.now_ms());
+        let keyed = |(incarnation, blocked): (IncarnationHash, Blocked)| {
+            Some((*by_hash.get(&incarnation.0)?, blocked))
+        };
+        BlockedEndpoints(blocked.into_iter().filter_map(keyed).collect())
     }
 
     /// Checks right before a dispatch whether the endpoint may get it, and counts it.
@@ -134,12 +142,14 @@
         if table.is_empty() {
             return Ok(());
         }
-        match table.permit(life(endpoint), self.now_ms()) {
+        match table.permit(incarnation(endpoint), self.now_ms()) {
             Ok(true) => self.broadcast_wanted.notify_one(),
             Ok(false) => {}
-            Err(shut) => {
-                self.metrics.shut_before_dispatch.inc(shut.reason.name());
-                return Err(shut);
+            Err(blocked) => {
+                self.metrics
+                    .blocked_before_dispatch
+                    .inc(blocked.reason.name());
+                return Err(blocked);
             }
         }
         Ok(())
@@ -154,21 +164,21 @@
     /// Advice about endpoints to send to peers.
     pub(crate) fn advice_to_tell(&self, is_whole: bool) -> Vec<AdviceAt> {
         let now_ms = self.now_ms();
-        let told = self
+        let updates = self
             .backpressure
             .borrow_mut()
             .take_peer_updates(is_whole, now_ms);
-        let word_at = |word: LimitUpdate| LimitStatement {
-            per_s_thousandths: word.per_s.map(|per_s| (per_s * 1e3) as u64),
-            age_ms: (now_ms - word.at_ms).max(0.0) as u32,
+        let limit_at = |limit: LimitUpdate| LimitStatement {
+            per_s_thousandths: limit.per_s.map(|per_s| (per_s * 1e3) as u64),
+            age_ms: (now_ms - limit.at_ms).max(0.0) as u32,
         };
-        let advice_at = |(life, told): (IncarnationHash, PeerUpdate)| AdviceAt {
-            endpoint: life.0,
-            word: told.limit.map(word_at),
-            sent: told.sent_requests,
-            leaves: told.is_leaving,
+        let advice_at = |(incarnation, update): (IncarnationHash, PeerUpdate)| AdviceAt {
+            endpoint: incarnation.0,
+            word: update.limit.map(limit_at),
+            sent: update.sent_requests,
+            leaves: update.is_leaving,
         };
-        told.into_iter().map(advice_at).collect()
+        updates.into_iter().map(advice_at).collect()
     }
 
     /// Takes the advice about endpoints in a peer's message.
@@ -176,13 +186,18 @@
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
         table.observe_peer_clock(message.clock_ms as f64, now_ms);
-        for said in &message.advice {
-            let told = PeerUpdate {
-                limit: said.word.map(|word| word_from_peer(&word, now_ms)),
-                sent_requests: said.sent,
-                is_leaving: said.leaves,
+        for advice in &message.advice {
+            let update = PeerUpdate {
+                limit: advice.word.map(|limit| limit_from_peer(&limit, now_ms)),
+                sent_requests: advice.sent,
+                is_leaving: advice.leaves,
             };
-            table.apply_peer_update(message.from, IncarnationHash(said.endpoint), told, now_ms);
+            table.apply_peer_update(
+                message.from,
+                IncarnationHash(advice.endpoint),
+                update,
+                now_ms,
+            );
         }
     }
 
@@ -199,31 +214,33 @@
             others: staying,
             count: is_known.then_some(gateways),
         });
-        table.expire(self.now_ms(), |life| by_hash.contains_key(&life.0));
+        table.expire(self.now_ms(), |incarnation| {
+            by_hash.contains_key(&incarnation.0)
+        });
     }
 }
 
 /// Converts a peer's report of a limit to this process's clock.
-fn word_from_peer(word: &LimitStatement, now_ms: f64) -> LimitUpdate {
-    let per_s = word.per_s_thousandths.map(|per_s| per_s as f64 / 1e3);
+fn limit_from_peer(limit: &LimitStatement, now_ms: f64) -> LimitUpdate {
+    let per_s = limit.per_s_thousandths.map(|per_s| per_s as f64 / 1e3);
     // A limit that was learned while its withdrawal was in transit takes precedence over the
     // withdrawal.
-    let on_the_way_ms = if per_s.is_none() { TRANSIT_MS } else { 0 };
-    let at_ms = now_ms - f64::from(word.age_ms) - on_the_way_ms as f64;
+    let transit_ms = if per_s.is_none() { TRANSIT_MS } else { 0 };
+    let at_ms = now_ms - f64::from(limit.age_ms) - transit_ms as f64;
     LimitUpdate { per_s, at_ms }
 }
 
-/// Logs that an endpoint was shut after a request had been placed there.
-pub(crate) fn log_shut(client_request: &ClientRequest, endpoint: &Endpoint, shut: Blocked) {
+/// Logs that an endpoint was blocked after a request had been placed there.
+pub(crate) fn log_blocked(client_request: &ClientRequest, endpoint: &Endpoint, blocked: Blocked) {
     log::info!(
         request_id = client_request.request_id,
         endpoint = endpoint.facts.incarnation.id,
-        reason = shut.reason.name(),
-        opens_in_ms = shut.blocked_for_ms as u64;
+        reason = blocked.reason.name(),
+        opens_in_ms = blocked.blocked_for_ms as u64;
         "an endpoint was shut before the dispatch"
     );
 }
 
-fn life(endpoint: &Endpoint) -> IncarnationHash {
+fn incarnation(endpoint: &Endpoint) -> IncarnationHash {
     IncarnationHash(endpoint.facts.incarnation.hash_64())
 }
--- a/crates/mgs-relay/src/dispatcher.rs
+++ b/crates/mgs-relay/src/dispatcher.rs
@@ -56,8 +56,8 @@
 /// allowed, so that a dispatch that hangs leaves time for the next.
 const DISPATCH_SHARE: f64 = 0.5;
 
-/// Delay before a request is placed again after its endpoint was shut, so that other requests are
-/// served meanwhile.
+/// Delay before a request is placed again after its endpoint was blocked, so that other requests
+/// are served meanwhile.
 const PLACEMENT_RETRY_DELAY: Duration = Duration::from_millis(2);
 
 /// Largest rank that engines accept; the largest rank is served last.
@@ -175,8 +175,8 @@
     }
 
     /// Places the request and waits until its engines have finished what was placed before. If one
-    /// of the chosen endpoints leaves or is shut meanwhile, it gets nothing new and the request is
-    /// placed again.
+    /// of the chosen endpoints leaves or is blocked meanwhile, it gets nothing new and the request
+    /// is placed again.
     async fn place_and_wait(&self) -> Result<PlacedRequest, Refusal> {
         loop {
             let placed = self.place().await?;
@@ -192,7 +192,9 @@
             }
             match self.core.permit_dispatch(&placed.endpoint) {
                 Ok(()) => return Ok(placed),
-                Err(shut) => advice::log_shut(&self.client_request, &placed.endpoint, shut),
+                Err(blocked) => {
+                    advice::log_blocked(&self.client_request, &placed.endpoint, blocked)
+                }
             }
             drop(placed);
             sleep(PLACEMENT_RETRY_DELAY).await;
@@ -216,7 +218,7 @@
             .filter(|e| !barred_endpoints.contains(&e.key));
         Err(self
             .core
-            .shut()
+            .blocked_endpoints()
             .refusal(open, &self.client_request.request_id))
     }
 
--- a/crates/mgs-relay/src/fault.rs
+++ b/crates/mgs-relay/src/fault.rs
@@ -26,7 +26,7 @@
     /// no endpoint of the service is known
     NoEndpoint,
     /// the endpoints have asked to be sent nothing now
-    Shut,
+    Blocked,
     /// the endpoints have no room
     Full,
     /// the prompt exceeds the memory of all engines together
@@ -72,7 +72,7 @@
             Self::BodyTooLong => "body_too_long",
             Self::BodyTooSlow => "body_too_slow",
             Self::NoEndpoint => "no_endpoint",
-            Self::Shut => "endpoints_shut",
+            Self::Blocked => "endpoints_shut",
             Self::Full => "full",
             Self::TooLarge => "too_large",
             Self::TooLate => "too_late",
--- a/crates/mgs-relay/src/metrics.rs
+++ b/crates/mgs-relay/src/metrics.rs
@@ -53,7 +53,7 @@
     /// Changes of what endpoints ask of their senders, by kind.
     pub(crate) advice: Counters,
     /// Requests placed at an endpoint that must not be sent anything any more, by reason.
-    pub(crate) shut_before_dispatch: Counters,
+    pub(crate) blocked_before_dispatch: Counters,
     /// Runs that returned no answer, by what became of their endpoint.
     pub(crate) lost_runs: Counters,
     /// Works that were put in quarantine or released.
@@ -126,7 +126,7 @@
                 "What endpoints newly asked of those that send them requests",
                 "news",
             ),
-            shut_before_dispatch: registry.counters(
+            blocked_before_dispatch: registry.counters(
                 "relay_shut_before_dispatch",
                 "Requests placed at an endpoint that may not be sent anything any more",
                 "reason",
--- a/crates/mgs-relay/src/place.rs
+++ b/crates/mgs-relay/src/place.rs
@@ -69,7 +69,7 @@
     let listed = fleet.of_service(service).iter();
     let present = listed.filter(|endpoint| !endpoint.facts.is_leaving);
     let present: Vec<Arc<Endpoint>> = present.cloned().collect();
-    // Includes shut endpoints: the number of endpoints that may be ejected depends on all of them.
+    // Includes blocked endpoints: the number of endpoints that may be ejected depends on all.
     core.outliers.set_endpoint_count(present.len());
     present
 }
@@ -114,16 +114,16 @@
 ) -> Result<PlacedRequest, Refusal> {
     let fleet = core.published.fleet();
     let present = active_endpoints(core, &fleet, service);
-    let shut = core.shut();
-    let open: Vec<Arc<Endpoint>> = present
+    let blocked = core.blocked_endpoints();
+    let allowed: Vec<Arc<Endpoint>> = present
         .iter()
-        .filter(|e| !shut.contains(e))
+        .filter(|e| !blocked.contains(e))
         .cloned()
         .collect();
-    if open.is_empty() && !present.is_empty() {
-        return Err(shut.refusal(&present, request_id));
+    if allowed.is_empty() && !present.is_empty() {
+        return Err(blocked.refusal(&present, request_id));
     }
-    let endpoints = eligible_endpoints(core, &open, tried);
+    let endpoints = eligible_endpoints(core, &allowed, tried);
     let candidate = |endpoint: &Arc<Endpoint>| plain::Candidate {
         key: endpoint.key,
         slots: endpoint.facts.slots,
@@ -140,7 +140,7 @@
         endpoint = endpoint.facts.incarnation.id,
         running_calls = core.load_table.borrow().load(endpoint.key).calls,
         usable_endpoints = candidates.len(),
-        shut_endpoints = present.len() - open.len(),
+        shut_endpoints = present.len() - allowed.len(),
         tried = tried.len(),
         fleet_age_ms = core.published.fleet_age_ms().unwrap_or(u64::MAX);
         "placed"
--- a/crates/mgs-relay/src/wait.rs
+++ b/crates/mgs-relay/src/wait.rs
@@ -267,13 +267,13 @@
     tried: &TriedEndpoints,
 ) -> Result<ScopedPlacement, Refusal> {
     let core = prompt.core;
-    let shut = core.shut();
+    let blocked = core.blocked_endpoints();
     let present = active_endpoints(core, fleet, prompt.service);
-    let may_help = present.iter().filter(|e| !shut.bars_help(e));
+    let may_help = present.iter().filter(|e| !blocked.blocks_help(e));
     let may_help: Vec<Arc<Endpoint>> = may_help.cloned().collect();
     let mut endpoints = eligible_endpoints(core, &may_help, tried);
-    if !present.is_empty() && endpoints.iter().all(|e| shut.contains(e)) {
-        return Err(shut.refusal(&present, prompt.request_id));
+    if !present.is_empty() && endpoints.iter().all(|e| blocked.contains(e)) {
+        return Err(blocked.refusal(&present, prompt.request_id));
     }
     let near = own_zone_first(core, &mut endpoints);
     let refusing = refusing_help(core, &endpoints);
@@ -282,7 +282,7 @@
         slowness: core.outliers.slowness(endpoint.key),
         on_trial: is_on_trial(core, endpoint),
         can_help: !refusing.contains(&endpoint.key),
-        can_lead: !shut.contains(endpoint),
+        can_lead: !blocked.contains(endpoint),
     };
     let all: Vec<Candidate> = endpoints.iter().map(candidate).collect();
     register_pass_times(core, &all, prompt.model);
