--- a/crates/mgs-relay/src/broadcast.rs
+++ b/crates/mgs-relay/src/broadcast.rs
@@ -1,4 +1,4 @@
-//! Sends this gateway's state to its peers: short messages with new work at once, at most one every
+//! Sends this gateway's state to its peers: short messages with new load at once, at most one every
 //! few milliseconds, and a whole message with all that it holds a few times a second.
 
 use std::cell::RefCell;
--- a/crates/mgs-relay/src/crash_gossip.rs
+++ b/crates/mgs-relay/src/crash_gossip.rs
@@ -44,7 +44,7 @@
         // Changes are sent both when something is urgent and when the interval is over.
         let is_urgent = timeout(REPEAT_INTERVAL, waiting).await.is_ok();
         gossip.send_to_newcomers().await;
-        let changed = gossip.core.crashes.take_fresh();
+        let changed = gossip.core.crashes.take_changed();
         gossip.send_to_all(&changed).await;
         if !is_urgent {
             gossip.send_to_all(&to_repeat).await;
@@ -72,9 +72,9 @@
             .recipients(&self.core, now_ms, true)
     }
 
-    async fn send_to_all(&self, works: &[Fingerprint]) {
-        if !works.is_empty() {
-            self.send(works, &self.all_peers()).await;
+    async fn send_to_all(&self, fingerprints: &[Fingerprint]) {
+        if !fingerprints.is_empty() {
+            self.send(fingerprints, &self.all_peers()).await;
         }
     }
 
@@ -88,18 +88,21 @@
     }
 
     async fn send_to_random_peer(&self) {
-        let grave = self.core.crashes.confined_or_held();
+        let severe = self.core.crashes.confined_or_held();
         let all_peers = self.all_peers();
-        if grave.is_empty() || all_peers.is_empty() {
+        if severe.is_empty() || all_peers.is_empty() {
             return;
         }
         let index = self.core.random_below(all_peers.len() as u32) as usize;
-        self.send(&grave, &all_peers[index..=index]).await;
+        self.send(&severe, &all_peers[index..=index]).await;
     }
 
-    async fn send(&self, works: &[Fingerprint], peers: &[SocketAddr]) {
-        let reports = self.core.crashes.reports(works, self.core.now_ms());
-        for datagram in split_into_datagrams(self.core.incarnation, reports) {
+    async fn send(&self, fingerprints: &[Fingerprint], peers: &[SocketAddr]) {
+        let records = self
+            .core
+            .crashes
+            .shared_records(fingerprints, self.core.now_ms());
+        for datagram in split_into_datagrams(self.core.incarnation, records) {
             let kind = TrafficKind::CrashMessages;
             send_to(&self.core, &self.socket, &datagram, peers, kind).await;
         }
@@ -107,9 +110,9 @@
 }
 
 /// Encodes reports as datagrams of at most [`MESSAGE_BYTES_MAX`] bytes.
-fn split_into_datagrams(from: u64, works: Vec<SharedRecord>) -> Vec<Vec<u8>> {
+fn split_into_datagrams(from: u64, records: Vec<SharedRecord>) -> Vec<Vec<u8>> {
     let mut datagrams = Vec::new();
-    let mut rest = works;
+    let mut rest = records;
     while !rest.is_empty() {
         let mut count = rest.len();
         loop {
--- a/crates/mgs-relay/src/dispatcher.rs
+++ b/crates/mgs-relay/src/dispatcher.rs
@@ -69,8 +69,8 @@
     pub(crate) client_request: ClientRequest,
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
-    /// Key shared by all requests for the same work.
-    pub(crate) work: Fingerprint,
+    /// Identifies repetitions of the request.
+    pub(crate) fingerprint: Fingerprint,
     pub(crate) route: Arc<Route>,
     pub(crate) organisation: Option<Arc<Organisation>>,
     pub(crate) service: String,
@@ -78,7 +78,7 @@
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
     pub(crate) progress: DispatchProgress,
-    /// What the quarantine allows for this request, since its work may have crashed endpoints.
+    /// What the quarantine allows for this request, since it may have crashed endpoints.
     pub(crate) permission: Permission,
 }
 
@@ -129,7 +129,7 @@
                 .place_and_wait()
                 .await
                 .map_err(|refusal| self.unknown_if_run(refusal))?;
-            // The work may have crashed other endpoints while this request waited.
+            // The request may have crashed other endpoints while this request waited.
             self.recheck_quarantine()?;
             let failed = match self.dispatch(placed, last_event_id).await {
                 Ok(got) => return Ok(got),
@@ -144,22 +144,22 @@
         }
     }
 
-    /// Refuses a request whose work is quarantined, and records what is allowed otherwise.
+    /// Refuses a request that is held, and records what is allowed otherwise.
     fn check_quarantine(&mut self) -> Result<(), Refusal> {
         let permission = match self.progress.dispatches {
-            0 => self.core.permission_to_begin(self.work),
-            _ => self.core.permission(self.work),
+            0 => self.core.permission_to_begin(self.fingerprint),
+            _ => self.core.permission(self.fingerprint),
         };
         self.permission = permission.map_err(|refusal| self.unknown_if_run(refusal))?;
         Ok(())
     }
 
-    /// Refuses a request whose work was quarantined after it was placed.
+    /// Refuses a request that was held after it was placed.
     fn recheck_quarantine(&self) -> Result<(), Refusal> {
         if self.permission == Permission::Trial {
             return Ok(());
         }
-        let permission = self.core.permission(self.work);
+        let permission = self.core.permission(self.fingerprint);
         permission
             .map(|_| ())
             .map_err(|refusal| self.unknown_if_run(refusal))
@@ -250,7 +250,7 @@
         Some(quarantine::barred_endpoints(
             &fleet,
             &self.service,
-            self.work,
+            self.fingerprint,
             tried,
         ))
     }
@@ -373,7 +373,7 @@
         self.progress.runs += 1;
         self.core.traffic.add(TrafficKind::Answers, body.len());
         if head.status.is_success() {
-            self.core.record_completion(self.work);
+            self.core.record_completion(self.fingerprint);
         }
         if !head.status.is_server_error() {
             return Ok(UsableResponse::Whole(Box::new(FullResponse { head, body })));
@@ -408,7 +408,7 @@
     }
 
     fn may_try_again(&self, failed: &FailedDispatch) -> bool {
-        if self.permission == Permission::Trial || self.core.permission(self.work).is_err() {
+        if self.permission == Permission::Trial || self.core.permission(self.fingerprint).is_err() {
             return false;
         }
         if self.time_left().is_zero() || !self.progress.allows_another_dispatch() {
@@ -459,7 +459,7 @@
         LostRun {
             helpers: helpers.collect(),
             request_id: self.client_request.request_id.clone(),
-            work: self.work,
+            fingerprint: self.fingerprint,
             endpoint: placed.endpoint.clone(),
             reached,
         }
--- a/crates/mgs-relay/src/fault.rs
+++ b/crates/mgs-relay/src/fault.rs
@@ -34,7 +34,7 @@
     /// the deadline would pass before it could be served
     TooLate,
     /// the request has crashed the endpoints that ran it, and isn't sent to others
-    Quarantined,
+    Held,
     /// the endpoints said that they didn't run it
     NotRun,
     /// the endpoint gave no usable answer; it may have run
@@ -76,7 +76,7 @@
             Self::Full => "full",
             Self::TooLarge => "too_large",
             Self::TooLate => "too_late",
-            Self::Quarantined => "quarantined",
+            Self::Held => "quarantined",
             Self::NotRun => "not_run",
             Self::Unknown => "unknown",
             Self::TimeoutBefore => "timeout_before_dispatch",
--- a/crates/mgs-relay/src/follow.rs
+++ b/crates/mgs-relay/src/follow.rs
@@ -185,8 +185,8 @@
     }
 }
 
-/// Writes quarantined works to the store until the process ends. What can't be written is retried
-/// after a delay, unless something newer is to be written for the same work by then.
+/// Writes held requests to the store until the process ends. What can't be written is retried
+/// after a delay, unless something newer is to be written for the same request by then.
 async fn write_holds(
     options: Options,
     published: Arc<Published>,
@@ -195,18 +195,18 @@
 ) {
     let holds = published.holds();
     loop {
-        for (work, write) in holds.next_writes().await {
+        for (fingerprint, write) in holds.next_writes().await {
             calls.count(CallReason::Hold);
             let written = match &write {
-                HoldWrite::Hold(hold) => source.put_hold(hold).await,
-                HoldWrite::LetGo => source.remove_hold(work).await,
+                HoldWrite::Hold(record) => source.put_hold(record).await,
+                HoldWrite::Release => source.remove_hold(fingerprint).await,
             };
             match written {
-                Ok(()) => log::info!(work:% = work; "what is held was written"),
+                Ok(()) => log::info!(work:% = fingerprint; "what is held was written"),
                 Err(error) => {
-                    log::warn!(work:% = work, error:% = error; "what is held can't be written");
+                    log::warn!(work:% = fingerprint, error:% = error; "what is held can't be written");
                     sleep(Duration::from_millis(options.retry_ms)).await;
-                    holds.requeue_write(work, write);
+                    holds.requeue_write(fingerprint, write);
                 }
             }
         }
--- a/crates/mgs-relay/src/follow/apply.rs
+++ b/crates/mgs-relay/src/follow/apply.rs
@@ -57,7 +57,7 @@
     }
 
     /// Applies the list of gateways of a restored older copy. Gateways that it lacks write their
-    /// entries again, and so does this one; quarantined works are written again too.
+    /// entries again, and so does this one; held requests are written again too.
     fn apply_rolled_back_gateways(&mut self, updates: Vec<Update>) {
         let is_own = |update: &Update| match update {
             Update::Gateway { name, address } => {
@@ -93,7 +93,7 @@
             Update::Held(SharedRecord {
                 fingerprint: key, ..
             })
-            | Update::LetGo(key) => {
+            | Update::Released(key) => {
                 self.bad_rows.clear(self.topic, &key.to_string());
             }
             Update::Configuration(_) => self.bad_rows.clear_all(self.topic),
@@ -200,11 +200,13 @@
         if is_full_read {
             self.gateways.clear();
         }
-        let mut news = Vec::new();
+        let mut hold_updates = Vec::new();
         for update in updates {
             match update {
-                Update::Held(report) => news.push(HoldUpdate::Held(report)),
-                Update::LetGo(work) => news.push(HoldUpdate::LetGo(work)),
+                Update::Held(record) => hold_updates.push(HoldUpdate::Held(record)),
+                Update::Released(fingerprint) => {
+                    hold_updates.push(HoldUpdate::Released(fingerprint))
+                }
                 Update::Gateway { name, address } => {
                     self.gateways.insert(name, address);
                 }
@@ -214,7 +216,7 @@
                 _ => {}
             }
         }
-        self.published.holds().publish(news);
+        self.published.holds().publish(hold_updates);
         let own = self.options.peer_address;
         let mut peers: Vec<SocketAddr> = self.gateways.values().copied().collect();
         peers.extend(&self.options.seed_peers);
--- a/crates/mgs-relay/src/holds.rs
+++ b/crates/mgs-relay/src/holds.rs
@@ -1,8 +1,8 @@
-//! Exchanges quarantined works between the thread that follows the store and the one that serves
+//! Exchanges held requests between the thread that follows the store and the one that serves
 //! requests.
 //!
-//! Gateways tell each other which works are held (quarantined), but all of them may lose power at
-//! once, so held works are rows of the store too. They are kept in the table that each gateway
+//! Gateways tell each other which requests are held, but all of them may lose power at
+//! once, so held requests are rows of the store too. They are kept in the table that each gateway
 //! follows anyway, since a table of their own would cost each gateway one more waiting call.
 
 use std::collections::BTreeMap;
@@ -13,22 +13,22 @@
 use mgs_quarantine::table::SharedRecord;
 use tokio::sync::Notify;
 
-/// A change of a held work in the store.
+/// A change of a held request in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HoldUpdate {
-    /// The work is held.
+    /// The request is held.
     Held(SharedRecord),
-    /// The work was held and has been released.
-    LetGo(Fingerprint),
+    /// The request was held and has been released.
+    Released(Fingerprint),
 }
 
-/// A write to the store about a work.
+/// A write to the store about a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HoldWrite {
-    /// Write that the work is held.
+    /// Write that the request is held.
     Hold(SharedRecord),
-    /// Write that the work is no longer held.
-    LetGo,
+    /// Write that the request is no longer held.
+    Release,
 }
 
 /// Updates and writes that the other thread has yet to take.
@@ -60,18 +60,18 @@
         std::mem::take(&mut *updates)
     }
 
-    /// Requests a write; it replaces a pending one for the same work.
-    pub fn write(&self, work: Fingerprint, write: HoldWrite) {
+    /// Requests a write; it replaces a pending one for the same request.
+    pub fn write(&self, fingerprint: Fingerprint, write: HoldWrite) {
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
-        writes.insert(work, write);
+        writes.insert(fingerprint, write);
         drop(writes);
         self.writes_changed.notify_one();
     }
 
-    /// Requests a failed write again, unless another one for the same work is pending.
-    pub fn requeue_write(&self, work: Fingerprint, write: HoldWrite) {
+    /// Requests a failed write again, unless another one for the same request is pending.
+    pub fn requeue_write(&self, fingerprint: Fingerprint, write: HoldWrite) {
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
-        writes.entry(work).or_insert(write);
+        writes.entry(fingerprint).or_insert(write);
         drop(writes);
         self.writes_changed.notify_one();
     }
@@ -83,12 +83,12 @@
         std::mem::take(&mut *writes)
     }
 
-    /// Requests that all held works are written again, since the store may have lost them.
+    /// Requests that all held requests are written again, since the store may have lost them.
     pub fn want_rewrite(&self) {
         self.rewrite_requested.notify_one();
     }
 
-    /// Waits until held works are to be written again.
+    /// Waits until held requests are to be written again.
     pub async fn rewrite_wanted(&self) {
         self.rewrite_requested.notified().await;
     }
--- a/crates/mgs-relay/src/lost_run.rs
+++ b/crates/mgs-relay/src/lost_run.rs
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct LostRun {
     pub(crate) request_id: String,
-    pub(crate) work: Fingerprint,
+    pub(crate) fingerprint: Fingerprint,
     pub(crate) endpoint: Arc<Endpoint>,
     /// Endpoints that read parts of its prompt.
     pub(crate) helpers: Vec<Arc<Endpoint>>,
@@ -78,7 +78,7 @@
     };
     core.metrics.lost_runs.inc(fate.name());
     log::info!(
-        request_id = run.request_id, work:% = run.work,
+        request_id = run.request_id, work:% = run.fingerprint,
         endpoint = run.endpoint.facts.incarnation.id, fate = fate.name(), lost:? = lost,
         reached = run.reached;
         "run lost"
@@ -100,7 +100,7 @@
 async fn probe_helpers(core: Rc<Core>, run: LostRun, at_ms: f64) {
     for helper in &run.helpers {
         if self::endpoint_fate(&core, helper).await == EndpointFate::Ended {
-            core.record_helper_crash(run.work, helper, at_ms);
+            core.record_helper_crash(run.fingerprint, helper, at_ms);
         }
     }
 }
--- a/crates/mgs-relay/src/metrics.rs
+++ b/crates/mgs-relay/src/metrics.rs
@@ -56,9 +56,9 @@
     pub(crate) blocked_before_dispatch: Counters,
     /// Runs that returned no answer, by what became of their endpoint.
     pub(crate) lost_runs: Counters,
-    /// Works that were put in quarantine or released.
+    /// Requests that were held or released.
     pub(crate) quarantine: Counters,
-    /// Works in quarantine.
+    /// Held requests.
     pub(crate) held_works: Gauge,
     /// Memory reservations, by outcome.
     pub(crate) reservations: Counters,
--- a/crates/mgs-relay/src/quarantine.rs
+++ b/crates/mgs-relay/src/quarantine.rs
@@ -1,7 +1,8 @@
-//! Tracks endpoint crashes and quarantines the requests that cause them.
+//! Tracks endpoint crashes and holds the requests that cause them.
 //!
-//! `mgs-quarantine` decides which work is held; [`crate::crash_gossip`] tells peers. A work is the set of
-//! all identical requests. It is *held* when its requests are refused.
+//! `mgs-quarantine` decides which request is held, that is, refused at all gateways;
+//! [`crate::crash_gossip`] tells peers. Identical requests share a [`Fingerprint`] and count as one
+//! request here.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -31,7 +32,7 @@
 use crate::view::Endpoint;
 use crate::view::Fleet;
 
-/// `Retry-After` for a request of a held work, in milliseconds; longer than a client waits, since
+/// `Retry-After` for a held request, in milliseconds; longer than a client waits, since
 /// nothing will have changed by then.
 const RETRY_AFTER_HELD_MS: u64 = 30_000;
 
@@ -61,9 +62,9 @@
 }
 
 impl UnresolvedLoss {
-    /// Whether this is the loss of the same work at the same endpoint.
+    /// Whether this is the loss of the same request at the same endpoint.
     fn is_same_loss(&self, run: &LostRun) -> bool {
-        self.run.work == run.work && self.run.endpoint.key == run.endpoint.key
+        self.run.fingerprint == run.fingerprint && self.run.endpoint.key == run.endpoint.key
     }
 }
 
@@ -81,7 +82,7 @@
 /// A gateway's record of crashes.
 pub(crate) struct CrashTracker {
     table: RefCell<Quarantine>,
-    /// Works under which this gateway itself saw an endpoint crash.
+    /// Requests under which this gateway itself saw an endpoint crash.
     witnessed: RefCell<BTreeSet<Fingerprint>>,
     /// Since when endpoints refuse connections from here, in milliseconds.
     refuse_since_ms: RefCell<HashMap<EndpointKey, f64>>,
@@ -90,7 +91,7 @@
     unresolved: RefCell<Vec<UnresolvedLoss>>,
     /// Signals changes to report to peers at once.
     pub(crate) urgent: Notify,
-    /// Peers heard for the first time, which have yet to be told about works.
+    /// Peers heard for the first time, which have yet to be told of such requests.
     pub(crate) newcomers: RefCell<Vec<SocketAddr>>,
 }
 
@@ -127,22 +128,29 @@
         false
     }
 
-    /// Takes the works whose record has changed.
-    pub(crate) fn take_fresh(&self) -> Vec<Fingerprint> {
+    /// Takes the requests whose record has changed.
+    pub(crate) fn take_changed(&self) -> Vec<Fingerprint> {
         self.table.borrow_mut().take_changed()
     }
 
-    /// Records of works, as reported to peers.
-    pub(crate) fn reports(&self, keys: &[Fingerprint], now_ms: f64) -> Vec<SharedRecord> {
+    /// Records of requests, as reported to peers.
+    pub(crate) fn shared_records(
+        &self,
+        fingerprints: &[Fingerprint],
+        now_ms: f64,
+    ) -> Vec<SharedRecord> {
         let table = self.table.borrow();
-        let told = keys.iter().map(|key| table.shared_record(*key, now_ms));
-        told.flatten().collect()
+        let records = fingerprints
+            .iter()
+            .map(|fingerprint| table.shared_record(*fingerprint, now_ms));
+        records.flatten().collect()
     }
 
-    /// Works that peers must know: held ones, and those that may soon be.
+    /// Requests that peers must know: held ones, and those that may soon be.
     pub(crate) fn confined_or_held(&self) -> Vec<Fingerprint> {
         let table = self.table.borrow();
-        let is_confined_or_held = |key: &Fingerprint| table.verdict(*key) != Verdict::Allowed;
+        let is_confined_or_held =
+            |fingerprint: &Fingerprint| table.verdict(*fingerprint) != Verdict::Allowed;
         table
             .fingerprints()
             .into_iter()
@@ -158,14 +166,14 @@
     Free,
     /// May run on a single endpoint, the same at all gateways.
     Confined,
-    /// May run once, on a single endpoint, to test whether the held work still crashes it.
+    /// May run once, on a single endpoint, to test whether the held request still crashes it.
     Trial,
 }
 
 impl Core {
-    /// What is allowed for a request, or the refusal if its work is held.
-    pub(crate) fn permission(&self, work: Fingerprint) -> Result<Permission, Refusal> {
-        let verdict = self.crashes.table.borrow().verdict(work);
+    /// What is allowed for a request, or the refusal if it is held.
+    pub(crate) fn permission(&self, fingerprint: Fingerprint) -> Result<Permission, Refusal> {
+        let verdict = self.crashes.table.borrow().verdict(fingerprint);
         Self::permission_by(verdict)
     }
 
@@ -173,46 +181,49 @@
         match verdict {
             Verdict::Allowed => Ok(Permission::Free),
             Verdict::Confined => Ok(Permission::Confined),
-            Verdict::Held => Err(Refusal::after(Fault::Quarantined, RETRY_AFTER_HELD_MS)),
+            Verdict::Held => Err(Refusal::after(Fault::Held, RETRY_AFTER_HELD_MS)),
         }
     }
 
-    /// Like [`Core::permission`], for a request that begins and may become the trial of a held
-    /// work. Only one gateway runs the trial: the first by rank among those that hear each other.
-    pub(crate) fn permission_to_begin(&self, work: Fingerprint) -> Result<Permission, Refusal> {
-        let verdict = self.begin(work);
+    /// Like [`Core::permission`], for a request that begins. If it is held, it may become the trial.
+    /// Only one gateway runs the trial: the first by rank among those that hear each other.
+    pub(crate) fn permission_to_begin(
+        &self,
+        fingerprint: Fingerprint,
+    ) -> Result<Permission, Refusal> {
+        let verdict = self.begin(fingerprint);
         let refused = match Self::permission_by(verdict) {
             Ok(permission) => return Ok(permission),
             Err(refused) => refused,
         };
-        let is_taken = self.is_first_for(work)
+        let is_taken = self.is_first_for(fingerprint)
             && self
                 .crashes
                 .table
                 .borrow_mut()
-                .take_trial(work, self.now_ms());
+                .take_trial(fingerprint, self.now_ms());
         if !is_taken {
             return Err(refused);
         }
-        log::info!(work:% = work; "a held request is tried once more");
-        self.write_hold(work, true);
+        log::info!(work:% = fingerprint; "a held request is tried once more");
+        self.write_hold(fingerprint, true);
         self.crashes.urgent.notify_one();
         Ok(Permission::Trial)
     }
 
-    /// Records that a request of a work begins; returns the verdict.
-    fn begin(&self, work: Fingerprint) -> Verdict {
+    /// Records that a request begins; returns the verdict.
+    fn begin(&self, fingerprint: Fingerprint) -> Verdict {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
-        let verdict = table.begin_request(work, now_ms);
+        let verdict = table.begin_request(fingerprint, now_ms);
         drop(table);
         self.apply_verdict_changes();
         verdict
     }
 
-    /// Whether this gateway ranks before all peers that it hears, for one work.
-    fn is_first_for(&self, work: Fingerprint) -> bool {
-        let rank = |gateway: u64| xxh3_64_with_seed(&work.0.to_le_bytes(), gateway);
+    /// Whether this gateway ranks before all peers that it hears, for one request.
+    fn is_first_for(&self, fingerprint: Fingerprint) -> bool {
+        let rank = |gateway: u64| xxh3_64_with_seed(&fingerprint.0.to_le_bytes(), gateway);
         let own = rank(self.incarnation);
         let load_table = self.load_table.borrow();
         let mut peers = load_table.peer_keys();
@@ -248,18 +259,18 @@
         });
     }
 
-    /// Writes to the store whether a work is held, with its record.
-    fn write_hold(&self, work: Fingerprint, is_held: bool) {
-        let told = self
+    /// Writes to the store whether a request is held, with its record.
+    fn write_hold(&self, fingerprint: Fingerprint, is_held: bool) {
+        let record = self
             .crashes
             .table
             .borrow()
-            .shared_record(work, self.now_ms());
-        let write = match told.filter(|_| is_held) {
-            Some(told) => HoldWrite::Hold(told),
-            None => HoldWrite::LetGo,
+            .shared_record(fingerprint, self.now_ms());
+        let write = match record.filter(|_| is_held) {
+            Some(record) => HoldWrite::Hold(record),
+            None => HoldWrite::Release,
         };
-        self.published.holds().write(work, write);
+        self.published.holds().write(fingerprint, write);
     }
 
     /// Whether an endpoint is known to have crashed under some run.
@@ -272,7 +283,7 @@
     fn record_crash(&self, run: &LostRun, at_ms: f64) {
         if self.crashes.is_crash_loop(&run.endpoint, at_ms) {
             log::info!(
-                request_id = run.request_id, work:% = run.work,
+                request_id = run.request_id, work:% = run.fingerprint,
                 endpoint = run.endpoint.facts.incarnation.id;
                 "an endpoint ends again and again"
             );
@@ -280,52 +291,57 @@
         }
         let incarnation = run.endpoint.facts.incarnation.hash_64();
         let mut table = self.crashes.table.borrow_mut();
-        table.record_crash(run.work, incarnation, run.reached, at_ms);
+        table.record_crash(run.fingerprint, incarnation, run.reached, at_ms);
         drop(table);
-        self.crashes.witnessed.borrow_mut().insert(run.work);
+        self.crashes.witnessed.borrow_mut().insert(run.fingerprint);
         self.apply_verdict_changes();
         self.crashes.urgent.notify_one();
     }
 
     /// Records that a helper has crashed together with the endpoint of a run.
-    pub(crate) fn record_helper_crash(&self, work: Fingerprint, helper: &Endpoint, at_ms: f64) {
+    pub(crate) fn record_helper_crash(
+        &self,
+        fingerprint: Fingerprint,
+        helper: &Endpoint,
+        at_ms: f64,
+    ) {
         let incarnation = helper.facts.incarnation.hash_64();
         let mut table = self.crashes.table.borrow_mut();
-        table.record_helper_crash(work, incarnation, at_ms);
+        table.record_helper_crash(fingerprint, incarnation, at_ms);
         self.crashes.urgent.notify_one();
     }
 
-    /// Records the progress of a run of a work; `events` is called only if any work is tracked.
-    pub(crate) fn record_progress(&self, work: Fingerprint, events: impl FnOnce() -> u32) {
+    /// Records the progress of a run of a request; `events` is called only if there are records.
+    pub(crate) fn record_progress(&self, fingerprint: Fingerprint, events: impl FnOnce() -> u32) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
         if !table.is_empty() {
-            table.record_progress(work, events(), now_ms);
+            table.record_progress(fingerprint, events(), now_ms);
         }
     }
 
-    /// Records that a run of a work has completed.
-    pub(crate) fn record_completion(&self, work: Fingerprint) {
+    /// Records that a run of a request has completed.
+    pub(crate) fn record_completion(&self, fingerprint: Fingerprint) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
-        table.record_completion(work, now_ms);
+        table.record_completion(fingerprint, now_ms);
     }
 
     /// Takes the crashes that a peer reports.
-    pub(crate) fn record_peer_crashes(&self, works: &[SharedRecord]) {
+    pub(crate) fn record_peer_crashes(&self, records: &[SharedRecord]) {
         let now_ms = self.now_ms();
         let mut table = self.crashes.table.borrow_mut();
-        for told in works {
-            table.merge_shared(told, now_ms);
+        for record in records {
+            table.merge_shared(record, now_ms);
         }
         drop(table);
         self.apply_verdict_changes();
     }
 
-    /// Releases a work: an operator released it, or it completed at another gateway.
-    fn release_work(&self, work: Fingerprint) {
+    /// Releases a request: an operator released it, or it completed at another gateway.
+    fn release_request(&self, fingerprint: Fingerprint) {
         let now_ms = self.now_ms();
-        self.crashes.table.borrow_mut().release(work, now_ms);
+        self.crashes.table.borrow_mut().release(fingerprint, now_ms);
         self.apply_verdict_changes();
     }
 
@@ -350,7 +366,7 @@
         unresolved.any(|loss| loss.is_same_loss(run))
     }
 
-    /// Keeps a loss as unresolved; it replaces an earlier loss of the same work at the same
+    /// Keeps a loss as unresolved; it replaces an earlier loss of the same request at the same
     /// endpoint.
     fn keep_unresolved(&self, run: LostRun, at_ms: f64) {
         let mut unresolved = self.crashes.unresolved.borrow_mut();
@@ -379,7 +395,7 @@
         });
         for (run, at_ms) in ended {
             log::info!(
-                request_id = run.request_id, work:% = run.work,
+                request_id = run.request_id, work:% = run.fingerprint,
                 endpoint = run.endpoint.facts.incarnation.id;
                 "the endpoint of a lost run has ended"
             );
@@ -387,24 +403,26 @@
         }
     }
 
-    /// Logs which works are held or released now, and writes to the store those that this gateway
-    /// witnessed.
+    /// Logs which requests are held or released now, and writes to the store those whose crashes
+    /// this gateway witnessed.
     fn apply_verdict_changes(&self) {
         let changed = self.crashes.table.borrow_mut().take_hold_changes();
-        for (work, is_held) in changed {
-            if self.crashes.witnessed.borrow().contains(&work) {
-                self.write_hold(work, is_held);
+        for (fingerprint, is_held) in changed {
+            if self.crashes.witnessed.borrow().contains(&fingerprint) {
+                self.write_hold(fingerprint, is_held);
             }
             let table = self.crashes.table.borrow();
-            let crashes = table.record(work).map_or(0, |record| record.crashes.len());
+            let crashes = table
+                .record(fingerprint)
+                .map_or(0, |record| record.crashes.len());
             match is_held {
                 true => {
                     self.metrics.quarantine.inc("held");
-                    log::warn!(work:% = work, crashes = crashes; "a request that crashes endpoints is held");
+                    log::warn!(work:% = fingerprint, crashes = crashes; "a request that crashes endpoints is held");
                 }
                 false => {
                     self.metrics.quarantine.inc("let_go");
-                    log::info!(work:% = work, crashes = crashes; "a held request is let go");
+                    log::info!(work:% = fingerprint, crashes = crashes; "a held request is let go");
                 }
             }
         }
@@ -425,37 +443,37 @@
         table.set_endpoint_count(endpoints);
         table.prune(now_ms);
         let mut witnessed = core.crashes.witnessed.borrow_mut();
-        witnessed.retain(|work| table.record(*work).is_some());
+        witnessed.retain(|fingerprint| table.record(*fingerprint).is_some());
         core.metrics.held_works.set(table.held().len() as i64);
         drop((table, witnessed));
         core.apply_verdict_changes();
     }
 }
 
-/// Applies held works read from the store, until the process ends.
+/// Applies held requests read from the store, until the process ends.
 pub(crate) async fn follow_store(core: Rc<Core>) {
     loop {
-        for news in core.published.holds().next_updates().await {
-            match news {
-                HoldUpdate::Held(told) => core.record_peer_crashes(&[told]),
-                HoldUpdate::LetGo(work) => core.release_work(work),
+        for update in core.published.holds().next_updates().await {
+            match update {
+                HoldUpdate::Held(record) => core.record_peer_crashes(&[record]),
+                HoldUpdate::Released(fingerprint) => core.release_request(fingerprint),
             }
         }
     }
 }
 
-/// Writes held works again whenever the store may have lost them, until the process ends. The
-/// gateways that witnessed the crashes do so, and for each work the gateway with the first rank, in
-/// case the witnesses have ended. Writing twice does no harm.
+/// Writes held requests again whenever the store may have lost them, until the process ends. The
+/// gateways that witnessed the crashes do so, and for each request the gateway with the first rank,
+/// in case the witnesses have ended. Writing twice does no harm.
 pub(crate) async fn rewrite(core: Rc<Core>) {
     loop {
         core.published.holds().rewrite_wanted().await;
         let held = core.crashes.table.borrow().held().clone();
         let mut written = 0;
-        for work in held {
-            let is_witnessed = core.crashes.witnessed.borrow().contains(&work);
-            if is_witnessed || core.is_first_for(work) {
-                core.write_hold(work, true);
+        for fingerprint in held {
+            let is_witnessed = core.crashes.witnessed.borrow().contains(&fingerprint);
+            if is_witnessed || core.is_first_for(fingerprint) {
+                core.write_hold(fingerprint, true);
                 written += 1;
             }
         }
@@ -463,19 +481,19 @@
     }
 }
 
-/// All active endpoints but the one on which a work may run. The choice is the same at each gateway
-/// that knows the same fleet; `tried` endpoints are skipped.
+/// All active endpoints but the one on which a request may run. The choice is the same at each
+/// gateway that knows the same fleet; `tried` endpoints are skipped.
 pub(crate) fn barred_endpoints(
     fleet: &Fleet,
     service: &str,
-    work: Fingerprint,
+    fingerprint: Fingerprint,
     tried: &[EndpointKey],
 ) -> Vec<EndpointKey> {
     let present = fleet.of_service(service).iter();
     let present = present.filter(|endpoint| !endpoint.facts.is_leaving);
     let rank = |endpoint: &Endpoint| {
         let seed = endpoint.facts.incarnation.hash_64();
-        xxh3_64_with_seed(&work.0.to_le_bytes(), seed)
+        xxh3_64_with_seed(&fingerprint.0.to_le_bytes(), seed)
     };
     let open = present
         .clone()
--- a/crates/mgs-relay/src/read_pause.rs
+++ b/crates/mgs-relay/src/read_pause.rs
@@ -38,7 +38,7 @@
         | Update::EndpointRemoved { .. }
         | Update::GatewayRemoved { .. }
         | Update::Held(_)
-        | Update::LetGo(_)
+        | Update::Released(_)
         | Update::Unreadable { .. } => false,
     };
     batch.updates.iter().all(is_newcomer)
--- a/crates/mgs-relay/src/serve.rs
+++ b/crates/mgs-relay/src/serve.rs
@@ -86,8 +86,8 @@
     request_id: String,
     prompt_tokens: u64,
     size_tokens: u64,
-    /// The work key, shared by all requests for the same work; empty until the body is read.
-    work: String,
+    /// Fingerprint of the request, in hexadecimal digits; empty until the body is read.
+    fingerprint: String,
     /// The route, once it is known.
     route: Option<Arc<Route>>,
     arrived: Instant,
@@ -104,7 +104,7 @@
         let route = self.route.as_deref();
         log::info!(
             request_id = self.request_id,
-            work = self.work,
+            work = self.fingerprint,
             outcome = outcome,
             status = status,
             detail = detail,
@@ -167,7 +167,7 @@
         request_id: client_request.request_id.clone(),
         prompt_tokens: client_request.prompt_tokens,
         size_tokens: client_request.size_tokens(),
-        work: String::new(),
+        fingerprint: String::new(),
         route: None,
         arrived,
         timeout_ms: 0,
@@ -232,11 +232,11 @@
         .services
         .get(&service)
         .and_then(|service| service.engine.clone());
-    let work = work(&client_request, &head, &body, &admitted, &service);
-    outcome_log.work = work.to_string();
+    let fingerprint = fingerprint(&client_request, &head, &body, &admitted, &service);
+    outcome_log.fingerprint = fingerprint.to_string();
     let mut dispatcher = Dispatcher {
         core: core.clone(),
-        work,
+        fingerprint,
         client_request,
         head,
         body,
@@ -259,8 +259,9 @@
     Ok(into_response(core, dispatcher, usable, open_request))
 }
 
-/// Computes the work key. The caller is its organisation, whichever of its API keys it uses.
-fn work(
+/// Computes the fingerprint of a request. The caller is its organisation, whichever of its API keys
+/// it uses.
+fn fingerprint(
     client_request: &ClientRequest,
     head: &request::Parts,
     body: &Bytes,
@@ -270,7 +271,7 @@
     let organisation = admitted.organisation.as_ref();
     let caller = organisation.map_or("", |organisation| organisation.name.as_str());
     let target = head.uri.path_and_query();
-    let work = RequestIdentity {
+    let identity = RequestIdentity {
         service,
         host: &client_request.host,
         method: head.method.as_str(),
@@ -278,7 +279,7 @@
         caller,
         body,
     };
-    work.fingerprint()
+    identity.fingerprint()
 }
 
 /// The current configuration. A process that has just started waits a moment for it: when all hosts
--- a/crates/mgs-relay/src/source.rs
+++ b/crates/mgs-relay/src/source.rs
@@ -20,7 +20,7 @@
     Configuration,
     /// Endpoints, each with an entry that it registered itself.
     Endpoints,
-    /// Gateways, each with an entry that it registered itself, and the quarantined works.
+    /// Gateways, each with an entry that it registered itself, and the held requests.
     Gateways,
 }
 
@@ -195,10 +195,10 @@
         /// Its name.
         name: String,
     },
-    /// A work that crashes endpoints was put in quarantine.
+    /// A request that crashes endpoints is held.
     Held(SharedRecord),
-    /// A work was released from quarantine.
-    LetGo(Fingerprint),
+    /// A request is released.
+    Released(Fingerprint),
 }
 
 /// The result of one read.
@@ -249,11 +249,11 @@
     /// Writes this gateway's entry, by which peers find it.
     fn register(&mut self, name: &str, address: SocketAddr) -> SourceFuture<'_, ()>;
 
-    /// Writes that a work is quarantined.
-    fn put_hold(&mut self, hold: &SharedRecord) -> SourceFuture<'_, ()>;
+    /// Writes that a request is held.
+    fn put_hold(&mut self, record: &SharedRecord) -> SourceFuture<'_, ()>;
 
-    /// Removes the entry of a quarantined work.
-    fn remove_hold(&mut self, work: Fingerprint) -> SourceFuture<'_, ()>;
+    /// Removes the entry of a held request.
+    fn remove_hold(&mut self, fingerprint: Fingerprint) -> SourceFuture<'_, ()>;
 }
 
 /// Creates connections to the store.
--- a/crates/mgs-relay/src/store_calls.rs
+++ b/crates/mgs-relay/src/store_calls.rs
@@ -26,7 +26,7 @@
     Whole,
     /// To register this gateway.
     Register,
-    /// To write that a work is held or released.
+    /// To write that a request is held or released.
     Hold,
     /// To read changes without waiting: the store was unreachable, a peer has newer data, or nobody
     /// has confirmed the known data.
--- a/crates/mgs-relay/src/stream.rs
+++ b/crates/mgs-relay/src/stream.rs
@@ -110,7 +110,9 @@
     pub(crate) async fn run(mut self) -> StreamEnd {
         let end = self.forward_all().await;
         if end == StreamEnd::Whole {
-            self.dispatcher.core.record_completion(self.dispatcher.work);
+            self.dispatcher
+                .core
+                .record_completion(self.dispatcher.fingerprint);
         }
         if end != StreamEnd::Whole {
             self.dispatcher.core.metrics.broken_streams.inc(end.name());
@@ -149,7 +151,7 @@
             };
             log::info!(
                 request_id = self.dispatcher.client_request.request_id,
-                work:% = self.dispatcher.work,
+                work:% = self.dispatcher.fingerprint,
                 endpoint = self.placed.endpoint.facts.incarnation.id,
                 last_event_id = self.last_id.as_deref().unwrap_or(""),
                 why = broke_off;
@@ -230,7 +232,7 @@
         }
         self.events += 1;
         let core = &self.dispatcher.core;
-        core.record_progress(self.dispatcher.work, || self.reached());
+        core.record_progress(self.dispatcher.fingerprint, || self.reached());
         let now_ms = core.now_ms();
         let engine = self.placed.endpoint.key;
         core.load_table
--- a/crates/mgs-relay/src/traffic.rs
+++ b/crates/mgs-relay/src/traffic.rs
@@ -24,9 +24,9 @@
     Dispatches,
     /// Response bodies from endpoints.
     Answers,
-    /// Short messages to peers about new work, counted for each peer.
+    /// Short messages to peers about new load, counted for each peer.
     ShortMessages,
-    /// Whole messages to peers about all work held, counted for each peer.
+    /// Whole messages to peers about all load, counted for each peer.
     WholeMessages,
     /// Messages to peers about requests that crash endpoints, counted for each peer.
     CrashMessages,
--- a/crates/mgs-relay/src/view.rs
+++ b/crates/mgs-relay/src/view.rs
@@ -351,7 +351,7 @@
         &self.configuration_freshness
     }
 
-    /// The quarantined works as the store keeps them.
+    /// The held requests as the store keeps them.
     pub fn holds(&self) -> &Holds {
         &self.holds
     }
--- a/src/command/quarantine.rs
+++ b/src/command/quarantine.rs
@@ -7,8 +7,8 @@
 use clap::Arg;
 use clap::ArgMatches;
 use clap::Command;
-use marigoldstage_platform::lift_quarantine;
-use marigoldstage_platform::list_quarantined;
+use marigoldstage_platform::list_held_requests;
+use marigoldstage_platform::release_held_request;
 use marigoldstage_platform::QuarantineError;
 use mgs_quarantine::fingerprint::Fingerprint;
 use mgs_quarantine::table::SharedRecord;
@@ -22,7 +22,7 @@
 use crate::setting::SettingValues;
 
 const STORE: &str = "store";
-const WORK: &str = "work";
+const FINGERPRINT: &str = "work";
 
 const EXAMPLES: &str = "\
 Examples:
@@ -56,7 +56,7 @@
             Command::new("lift")
                 .about("Let requests for a work be dispatched to endpoints again")
                 .arg(
-                    Arg::new(WORK)
+                    Arg::new(FINGERPRINT)
                         .value_name("WORK")
                         .required(true)
                         .value_parser(parse_work_key)
@@ -82,14 +82,16 @@
     match subcommand {
         "list" => list(store, out),
         _ => {
-            let work: &Fingerprint = matches.get_one(WORK).expect("BUG: the parser requires it");
-            lift(store, *work, out)
+            let fingerprint: &Fingerprint = matches
+                .get_one(FINGERPRINT)
+                .expect("BUG: the parser requires it");
+            lift(store, *fingerprint, out)
         }
     }
 }
 
 fn list(store: SocketAddr, out: &mut dyn Write) -> Result<(), Error> {
-    let holds = LocalSet::new().block_on(&runtime()?, list_quarantined(store));
+    let holds = LocalSet::new().block_on(&runtime()?, list_held_requests(store));
     let holds = holds.map_err(hold_error)?;
     writeln!(out, "{:<32}  crashes  last, s ago  tried again", "work")?;
     for hold in &holds {
@@ -111,17 +113,17 @@
     ages_ms.min().unwrap_or(0) / 1_000
 }
 
-fn lift(store: SocketAddr, work: Fingerprint, out: &mut dyn Write) -> Result<(), Error> {
-    let lifted = LocalSet::new().block_on(&runtime()?, lift_quarantine(store, work));
+fn lift(store: SocketAddr, fingerprint: Fingerprint, out: &mut dyn Write) -> Result<(), Error> {
+    let lifted = LocalSet::new().block_on(&runtime()?, release_held_request(store, fingerprint));
     lifted.map_err(hold_error)?;
-    writeln!(out, "the hold on {work} is lifted")?;
+    writeln!(out, "the hold on {fingerprint} is lifted")?;
     Ok(())
 }
 
 fn hold_error(error: QuarantineError) -> Error {
     match error {
         QuarantineError::Store(_) => Error::Unavailable(error.to_string()),
-        QuarantineError::NotQuarantined => Error::Failed(error.to_string()),
+        QuarantineError::NotHeld => Error::Failed(error.to_string()),
     }
 }
 
