--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -162,12 +162,12 @@
     }
 
     /// Advice about endpoints to send to peers.
-    pub(crate) fn advice_to_tell(&self, is_whole: bool) -> Vec<AdviceAt> {
+    pub(crate) fn advice_to_tell(&self, is_full: bool) -> Vec<AdviceAt> {
         let now_ms = self.now_ms();
         let updates = self
             .backpressure
             .borrow_mut()
-            .take_peer_updates(is_whole, now_ms);
+            .take_peer_updates(is_full, now_ms);
         let limit_at = |limit: LimitUpdate| LimitStatement {
             per_s_thousandths: limit.per_s.map(|per_s| (per_s * 1e3) as u64),
             age_ms: (now_ms - limit.at_ms).max(0.0) as u32,
--- a/crates/mgs-relay/src/attempt.rs
+++ b/crates/mgs-relay/src/attempt.rs
@@ -49,7 +49,7 @@
         is_refused: bool,
         at_fault: Option<std::net::SocketAddr>,
     },
-    /// The endpoint can't have run the request, since a helper refused to read its part of the
+    /// The endpoint can't have run the request, since a helper refused to prefill its part of the
     /// prompt.
     HelperRefused {
         helper: Arc<Endpoint>,
@@ -59,7 +59,7 @@
     /// The request may have run; there is no usable response.
     Unknown { lost: LossCause, why: String },
     /// A complete response.
-    Whole { head: response::Parts, body: Bytes },
+    Full { head: response::Parts, body: Bytes },
     /// A stream has started.
     Started {
         head: response::Parts,
@@ -145,7 +145,7 @@
         }
     }
     drop(connection);
-    DispatchResult::Whole {
+    DispatchResult::Full {
         head,
         body: bytes.freeze(),
     }
@@ -167,7 +167,7 @@
             None => {
                 drop(connection);
                 let body = Bytes::new();
-                return DispatchResult::Whole { head, body };
+                return DispatchResult::Full { head, body };
             }
         };
         let Some(data) = frame.data_ref() else {
--- a/crates/mgs-relay/src/broadcast.rs
+++ b/crates/mgs-relay/src/broadcast.rs
@@ -1,5 +1,5 @@
 //! Sends this gateway's state to its peers: short messages with new load at once, at most one every
-//! few milliseconds, and a whole message with all that it holds a few times a second.
+//! few milliseconds, and a full message with all its load a few times a second.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -29,16 +29,16 @@
 /// Minimum time between two messages; what is placed meanwhile is sent together.
 pub(crate) const SEND_INTERVAL_MIN: Duration = Duration::from_millis(15);
 
-/// Time between two whole messages.
-const WHOLE_INTERVAL: Duration = Duration::from_millis(300);
+/// Time between two full messages.
+const FULL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Maximum size of a message, in bytes. Larger datagrams would be fragmented, and the loss of one
 /// fragment loses them all.
 pub(crate) const MESSAGE_BYTES_MAX: usize = 1_400;
 
-/// Every so many whole messages, one is sent to all listed gateways, the others only to those heard
+/// Every so many full messages, one is sent to all listed gateways, the others only to those heard
 /// recently.
-const WHOLE_TO_ALL_EVERY: u64 = 4;
+const FULL_TO_ALL_EVERY: u64 = 4;
 
 /// Sends messages to peers until the process ends.
 pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, peer_table: Rc<RefCell<PeerTable>>) {
@@ -47,17 +47,17 @@
         socket,
         peer_table,
         sequence: 0,
-        whole_messages_sent: 0,
+        full_messages_sent: 0,
     };
     loop {
-        broadcaster.send_whole().await;
-        let whole_at = Instant::now() + WHOLE_INTERVAL;
+        broadcaster.send_full().await;
+        let full_at = Instant::now() + FULL_INTERVAL;
         sleep(SEND_INTERVAL_MIN).await;
-        while timeout_at(whole_at, broadcaster.core.broadcast_wanted.notified())
+        while timeout_at(full_at, broadcaster.core.broadcast_wanted.notified())
             .await
             .is_ok()
         {
-            if broadcaster.core.whole_wanted.get() {
+            if broadcaster.core.full_message_wanted.get() {
                 break;
             }
             broadcaster.send_short().await;
@@ -73,17 +73,17 @@
     peer_table: Rc<RefCell<PeerTable>>,
     /// Sequence number of the last message.
     sequence: u64,
-    /// Number of whole messages sent.
-    whole_messages_sent: u64,
+    /// Number of full messages sent.
+    full_messages_sent: u64,
 }
 
 impl Broadcaster {
-    /// Sends all that this gateway holds and what it knows of the store.
-    async fn send_whole(&mut self) {
+    /// Sends all load that this gateway has placed and what it knows of the store.
+    async fn send_full(&mut self) {
         let message = self.next_message(true);
         let core = &self.core;
         core.unreported_loads.take();
-        core.whole_wanted.set(false);
+        core.full_message_wanted.set(false);
         let mut message = PeerMessage {
             is_whole: true,
             configuration: store_knowledge(core, core.published.configuration_freshness()),
@@ -95,13 +95,13 @@
         let loads = core.load_table.borrow().own_loads();
         add_loads(&mut message, &core.published.fleet(), loads);
         // Silent peers are sent a message about once a second.
-        let to_all = self.whole_messages_sent.is_multiple_of(WHOLE_TO_ALL_EVERY);
-        self.send(&encode_to_fit(message), to_all, TrafficKind::WholeMessages)
+        let to_all = self.full_messages_sent.is_multiple_of(FULL_TO_ALL_EVERY);
+        self.send(&encode_to_fit(message), to_all, TrafficKind::FullMessages)
             .await;
-        self.whole_messages_sent += 1;
+        self.full_messages_sent += 1;
     }
 
-    /// Sends what this gateway has come to hold since the last message.
+    /// Sends the load that this gateway has placed since the last message.
     async fn send_short(&mut self) {
         let mut message = self.next_message(false);
         let loads = self.core.unreported_loads.take();
@@ -110,8 +110,8 @@
             .await;
     }
 
-    /// Starts a message with the fields that whole and short ones share.
-    fn next_message(&mut self, is_whole: bool) -> PeerMessage {
+    /// Starts a message with the fields that full and short ones share.
+    fn next_message(&mut self, is_full: bool) -> PeerMessage {
         let core = &self.core;
         self.sequence += 1;
         let mut message = PeerMessage {
@@ -119,13 +119,13 @@
             sequence: self.sequence,
             leaving: core.drain.phase() != Phase::Serving,
             zone: core.zone,
-            waiting: core.first_waiting(),
+            waiting: core.queue_heads(),
             clock_ms: core.shared_clock_ms(),
-            advice: core.advice_to_tell(is_whole),
+            advice: core.advice_to_tell(is_full),
             ..PeerMessage::default()
         };
         let fleet = core.published.fleet();
-        message.refusals = refusals(core, &fleet, is_whole);
+        message.refusals = refusals(core, &fleet, is_full);
         for prefill in core.unreported_prefills.take() {
             if let Some(endpoint) = endpoint_hash(&fleet, prefill.endpoint) {
                 message.reads.push(PrefillAt {
@@ -149,12 +149,12 @@
 }
 
 /// Refusals to help that are to be reported: new ones, or all of them.
-fn refusals(core: &Core, fleet: &Fleet, is_all: bool) -> Vec<RefusalAt> {
+fn refusals(core: &Core, fleet: &Fleet, is_full: bool) -> Vec<RefusalAt> {
     let (now_ms, confirmed_ms) = (core.now_whole_ms(), core.fleet_confirmed_ms());
     let refused = core
         .helpers
         .borrow_mut()
-        .take_reports(is_all, now_ms, confirmed_ms);
+        .take_reports(is_full, now_ms, confirmed_ms);
     let refused_at = |(key, age_ms): (EndpointKey, u64)| {
         Some(RefusalAt {
             endpoint: endpoint_hash(fleet, key)?,
--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -63,7 +63,7 @@
     /// Load that this gateway has placed on endpoints since its last message to peers.
     pub(crate) unreported_loads: RefCell<Vec<(EndpointKey, EndpointLoad)>>,
     /// Whether the next message to peers must be a whole one and must be sent at once.
-    pub(crate) whole_wanted: Cell<bool>,
+    pub(crate) full_message_wanted: Cell<bool>,
     /// Wakes the broadcast task: load was placed, or the queue of waiting prompts has changed.
     pub(crate) broadcast_wanted: Notify,
     /// Prompts queued at this gateway for their turn, by serial number.
@@ -83,7 +83,7 @@
     /// Budget of retries.
     pub(crate) budget: RefCell<RetryBudget>,
     /// Probes in flight that check whether an endpoint's process has ended.
-    pub(crate) looks: RefCell<EndpointProbes>,
+    pub(crate) endpoint_probes: RefCell<EndpointProbes>,
     /// What is known of requests that crash endpoints.
     pub(crate) crashes: CrashTracker,
     pub(crate) metrics: Metrics,
@@ -178,19 +178,19 @@
         self.load_table.borrow().peer_count() < FEW_PEERS
     }
 
-    /// Requests a whole message to peers, since endpoints that peers may be waiting for are free
+    /// Requests a full message to peers, since endpoints that peers may be waiting for are free
     /// again.
     pub(crate) fn announce_freed(&self) {
-        self.whole_wanted.set(true);
+        self.full_message_wanted.set(true);
         self.broadcast_wanted.notify_one();
     }
 
     /// The scores of the prompts that are first in the queue of this gateway.
-    pub(crate) fn first_waiting(&self) -> QueueHeads {
+    pub(crate) fn queue_heads(&self) -> QueueHeads {
         let waiting = self.waiting.borrow();
         let scores = waiting.values();
-        scores.fold(QueueHeads::default(), |firsts, score| {
-            firsts.with_score(*score)
+        scores.fold(QueueHeads::default(), |heads, score| {
+            heads.with_score(*score)
         })
     }
 
--- a/crates/mgs-relay/src/dispatch_outcome.rs
+++ b/crates/mgs-relay/src/dispatch_outcome.rs
@@ -17,18 +17,18 @@
     pub(crate) fn record_outcome(
         &self,
         placed: &PlacedRequest,
-        ended: &DispatchResult,
+        result: &DispatchResult,
         took_ms: u64,
     ) {
         let core = &self.core;
         let now_ms = core.now_whole_ms();
         let key = placed.endpoint.key;
-        let end = match ended {
-            DispatchResult::Whole { head, .. } if head.status.is_server_error() => {
+        let end = match result {
+            DispatchResult::Full { head, .. } if head.status.is_server_error() => {
                 core.outliers.record_failure(key, now_ms);
                 "endpoint_error"
             }
-            DispatchResult::Whole { .. } => {
+            DispatchResult::Full { .. } => {
                 core.record_response(&placed.endpoint);
                 core.outliers.record_answer(key);
                 "answered"
@@ -73,11 +73,11 @@
                 "unknown"
             }
         };
-        let why = match ended {
+        let why = match result {
             DispatchResult::Unknown { why, .. } => why.as_str(),
             _ => end,
         };
-        let at_fault = match ended {
+        let at_fault = match result {
             DispatchResult::HelperRefused { helper, .. } => helper.facts.incarnation.id.as_str(),
             _ => "",
         };
@@ -101,14 +101,14 @@
     pub(crate) fn with_helper_at_fault(
         &self,
         placed: &PlacedRequest,
-        ended: DispatchResult,
+        result: DispatchResult,
     ) -> DispatchResult {
         let DispatchResult::NotRun {
             at_fault: Some(address),
             ..
-        } = ended
+        } = result
         else {
-            return ended;
+            return result;
         };
         let fleet = self.core.published.fleet();
         let mut helpers = placed
@@ -116,10 +116,11 @@
             .iter()
             .filter_map(|k| fleet.by_key.get(k));
         let Some(helper) = helpers.find(|helper| helper.facts.address == address) else {
-            return ended;
+            return result;
         };
-        let mut asked = placed.helpers.iter();
-        let is_reserved = asked.any(|one| one.address == address && one.reservation.is_some());
+        let mut helpers = placed.helpers.iter();
+        let is_reserved =
+            helpers.any(|helper| helper.address == address && helper.reservation.is_some());
         DispatchResult::HelperRefused {
             helper: helper.clone(),
             is_reserved,
--- a/crates/mgs-relay/src/dispatcher.rs
+++ b/crates/mgs-relay/src/dispatcher.rs
@@ -97,7 +97,7 @@
 
 /// A response that can be forwarded to the client.
 pub(crate) enum UsableResponse {
-    Whole(Box<FullResponse>),
+    Full(Box<FullResponse>),
     Stream(Box<StartedStream>),
 }
 
@@ -132,7 +132,7 @@
             // The request may have crashed other endpoints while this request waited.
             self.recheck_quarantine()?;
             let failed = match self.dispatch(placed, last_event_id).await {
-                Ok(got) => return Ok(got),
+                Ok(response) => return Ok(response),
                 Err(failed) => failed,
             };
             self.core.metrics.dispatches.inc(failed.name);
@@ -308,7 +308,7 @@
             &self.client_request,
             is_streaming,
         );
-        let ended = match self.first_response_timeout(&placed) {
+        let result = match self.first_response_timeout(&placed) {
             None => sending.await,
             Some(patience) => timeout(patience, sending)
                 .await
@@ -316,10 +316,10 @@
         };
         self.progress.in_flight = false;
         let took_ms = start.elapsed().as_millis() as u64;
-        let ended = self.with_helper_at_fault(&placed, ended);
-        self.record_outcome(&placed, &ended, took_ms);
-        match ended {
-            DispatchResult::Whole { head, body } => self.accept_full(head, body, endpoint.key),
+        let result = self.with_helper_at_fault(&placed, result);
+        self.record_outcome(&placed, &result, took_ms);
+        match result {
+            DispatchResult::Full { head, body } => self.accept_full(head, body, endpoint.key),
             DispatchResult::Started { head, stream } => {
                 placed.load_guard.record_first_token();
                 self.progress.runs += 1;
@@ -376,7 +376,7 @@
             self.core.record_completion(self.fingerprint);
         }
         if !head.status.is_server_error() {
-            return Ok(UsableResponse::Whole(Box::new(FullResponse { head, body })));
+            return Ok(UsableResponse::Full(Box::new(FullResponse { head, body })));
         }
         self.progress.tried.push(endpoint);
         Err(FailedDispatch {
--- a/crates/mgs-relay/src/load_guard.rs
+++ b/crates/mgs-relay/src/load_guard.rs
@@ -51,7 +51,7 @@
 
     /// Records the first token: all parts are prefilled. If there were several, peers are told at
     /// once, since other prompts wait for free engines. The end of a short prompt can wait for the
-    /// next whole message where there are many peers.
+    /// next full message where there are many peers.
     pub(crate) fn record_first_token(&mut self) {
         self.prefill_endpoints.clear();
         let mut load_table = self.core.load_table.borrow_mut();
--- a/crates/mgs-relay/src/lost_run.rs
+++ b/crates/mgs-relay/src/lost_run.rs
@@ -132,11 +132,11 @@
 /// Probes an endpoint once for all callers that ask at the same time.
 async fn shared_probe(core: &Core, endpoint: &Endpoint) -> EndpointFate {
     let pending = {
-        let mut probes = core.looks.borrow_mut();
+        let mut probes = core.endpoint_probes.borrow_mut();
         probes.entry(endpoint.key).or_default().clone()
     };
     let fate = *pending.get_or_init(|| probe(core, endpoint)).await;
-    core.looks.borrow_mut().remove(&endpoint.key);
+    core.endpoint_probes.borrow_mut().remove(&endpoint.key);
     fate
 }
 
--- a/crates/mgs-relay/src/progress.rs
+++ b/crates/mgs-relay/src/progress.rs
@@ -67,7 +67,7 @@
     /// The final result of the request if this was the last dispatch.
     pub(crate) fn into_result(self, runs: u32) -> Result<UsableResponse, Refusal> {
         if let Some(answer) = self.answer {
-            return Ok(UsableResponse::Whole(answer));
+            return Ok(UsableResponse::Full(answer));
         }
         if runs > 0 {
             return Err(Refusal::of(Fault::Unknown));
--- a/crates/mgs-relay/src/serve.rs
+++ b/crates/mgs-relay/src/serve.rs
@@ -249,14 +249,14 @@
         progress: DispatchProgress::default(),
         permission: Permission::Free,
     };
-    let usable = match timeout_at(deadline, dispatcher.run(None)).await {
-        Ok(usable) => usable?,
+    let response = match timeout_at(deadline, dispatcher.run(None)).await {
+        Ok(response) => response?,
         Err(_) => return Err(dispatcher.timed_out()),
     };
     let took_ms = arrived.elapsed().as_secs_f64() * 1e3;
     let length = metrics::length_label(dispatcher.client_request.prompt_tokens);
     core.metrics.first_token_ms.observe(length, took_ms);
-    Ok(into_response(core, dispatcher, usable, open_request))
+    Ok(into_response(core, dispatcher, response, open_request))
 }
 
 /// Computes the fingerprint of a request. The caller is its organisation, whichever of its API keys
@@ -298,16 +298,17 @@
 fn into_response(
     core: &Rc<Core>,
     dispatcher: Dispatcher,
-    usable: UsableResponse,
+    response: UsableResponse,
     open_request: OpenRequest,
 ) -> ClientResponse {
-    match usable {
-        UsableResponse::Whole(whole) => {
+    match response {
+        UsableResponse::Full(whole) => {
             forwarded_response(core, &whole.head, client_response::whole(whole.body))
         }
-        UsableResponse::Stream(begun) => {
-            let head = begun.head;
-            let (forwarder, chunks) = StreamForwarder::new(dispatcher, begun.stream, begun.placed);
+        UsableResponse::Stream(started) => {
+            let head = started.head;
+            let (forwarder, chunks) =
+                StreamForwarder::new(dispatcher, started.stream, started.placed);
             tokio::task::spawn_local(async move {
                 forwarder.run().await;
                 drop(open_request);
--- a/crates/mgs-relay/src/stream.rs
+++ b/crates/mgs-relay/src/stream.rs
@@ -263,20 +263,20 @@
         self.placed.release(&self.dispatcher.core);
         let deadline = self.dispatcher.deadline;
         let running = self.dispatcher.run(Some(&last_id));
-        let got = tokio::select! {
-            got = timeout_at(deadline, running) => got,
+        let result = tokio::select! {
+            result = timeout_at(deadline, running) => result,
             () = self.client.closed() => return Resumed::Failed,
         };
-        let begun = match got {
-            Ok(Ok(UsableResponse::Stream(begun))) => begun,
+        let started = match result {
+            Ok(Ok(UsableResponse::Stream(started))) => started,
             // Nothing followed the last event: only the end of the stream had been lost.
-            Ok(Ok(UsableResponse::Whole(rest))) if rest.head.status.is_success() => {
+            Ok(Ok(UsableResponse::Full(rest))) if rest.head.status.is_success() => {
                 return Resumed::AlreadyComplete
             }
             _ => return Resumed::Failed,
         };
-        self.stream = begun.stream;
-        self.placed = begun.placed;
+        self.stream = started.stream;
+        self.placed = started.placed;
         self.resumes += 1;
         Resumed::Continued
     }
--- a/crates/mgs-relay/src/traffic.rs
+++ b/crates/mgs-relay/src/traffic.rs
@@ -26,8 +26,8 @@
     Answers,
     /// Short messages to peers about new load, counted for each peer.
     ShortMessages,
-    /// Whole messages to peers about all load, counted for each peer.
-    WholeMessages,
+    /// Full messages to peers about all load, counted for each peer.
+    FullMessages,
     /// Messages to peers about requests that crash endpoints, counted for each peer.
     CrashMessages,
     /// Messages from peers.
@@ -40,7 +40,7 @@
         Self::Dispatches,
         Self::Answers,
         Self::ShortMessages,
-        Self::WholeMessages,
+        Self::FullMessages,
         Self::CrashMessages,
         Self::HeardMessages,
     ];
@@ -52,7 +52,7 @@
             Self::Dispatches => "dispatches",
             Self::Answers => "answers",
             Self::ShortMessages => "short_messages",
-            Self::WholeMessages => "whole_messages",
+            Self::FullMessages => "whole_messages",
             Self::CrashMessages => "crash_messages",
             Self::HeardMessages => "messages_heard",
         }
--- a/crates/mgs-relay/src/wait.rs
+++ b/crates/mgs-relay/src/wait.rs
@@ -228,8 +228,8 @@
     fn others(&self, scope: Scope) -> QueueHeads {
         let waiting = self.core.waiting.borrow();
         let others = waiting.iter().filter(|(number, _)| **number != self.number);
-        let here = others.fold(QueueHeads::default(), |firsts, (_, score)| {
-            firsts.with_score(*score)
+        let here = others.fold(QueueHeads::default(), |heads, (_, score)| {
+            heads.with_score(*score)
         });
         let load_table = self.core.load_table.borrow();
         here.merge(match scope {
