--- a/crates/mgs-relay/src/core.rs
+++ b/crates/mgs-relay/src/core.rs
@@ -66,13 +66,14 @@
     pub(crate) full_message_wanted: Cell<bool>,
     /// Wakes the broadcast task: load was placed, or the queue of waiting prompts has changed.
     pub(crate) broadcast_wanted: Notify,
-    /// Prompts queued at this gateway for their turn, by serial number.
+    /// Prompts queued at this gateway, by serial number.
     pub(crate) waiting: RefCell<HashMap<u64, Score>>,
-    /// Short prompts queued at this gateway for a spare place on an engine, by serial number.
+    /// Short prompts queued at this gateway for a spare slot on an engine, by serial number.
     pub(crate) waiting_for_spare: RefCell<BTreeSet<u64>>,
-    /// How many late short prompts recently found a spare place.
+    /// How many late short prompts recently found a spare slot.
     pub(crate) spare: RefCell<SpareSlotRate>,
-    /// How many long prompts of each length arrived at this gateway and how many of them were sent.
+    /// How many long prompts of each length arrived at this gateway and how many of them were
+    /// dispatched.
     pub(crate) lengths: RefCell<LengthCounter>,
     /// Failing endpoints that are skipped for a while.
     pub(crate) outliers: OutlierDetector,
@@ -118,8 +119,8 @@
         Some(self.now_whole_ms().saturating_sub(age_ms))
     }
 
-    /// Records that an endpoint refused to prefill a part of a prompt, and returns the likely reason.
-    /// `is_reserved` says whether memory had been reserved at the endpoint for that prompt.
+    /// Records that an endpoint refused to prefill a part of a prompt, and returns the likely
+    /// reason. `is_reserved` says whether memory had been reserved at the endpoint for that prompt.
     pub(crate) fn help_refused(&self, endpoint: &Endpoint, is_reserved: bool) -> RefusalReason {
         let parts = u32::from(self.load_table.borrow().load(endpoint.key).parts);
         let reason = match (parts >= endpoint.facts.slots, is_reserved) {
--- a/crates/mgs-relay/src/place.rs
+++ b/crates/mgs-relay/src/place.rs
@@ -174,24 +174,25 @@
     pub(crate) tried: &'a TriedEndpoints,
 }
 
-/// Places a prompt once it is its turn. `need` returns the current need, with the time left now.
+/// Places a prompt once it may be dispatched. `need` returns the current need, with the time left
+/// now.
 pub(crate) async fn place_prompt(
     prompt: &Prompt<'_>,
     need: impl Fn() -> Need,
 ) -> Result<PlacedRequest, Refusal> {
     let core = prompt.core;
-    let band = dispatch::length_band(&need(), prompt.model, &core.options.turns);
+    let band = dispatch::length_band(&need(), prompt.model, &core.options.dispatch);
     if let Some(band) = band {
         core.lengths.borrow_mut().count_asked(band, core.now_ms());
     }
-    let placed = place_in_turn(prompt, band, need).await?;
+    let placed = place_and_reserve(prompt, band, need).await?;
     if let Some(band) = band {
         core.lengths.borrow_mut().count_sent(band, core.now_ms());
     }
     Ok(placed)
 }
 
-async fn place_in_turn(
+async fn place_and_reserve(
     prompt: &Prompt<'_>,
     band: Option<LengthBand>,
     need: impl Fn() -> Need,
@@ -199,9 +200,9 @@
     let core = prompt.core;
     let mut avoided = prompt.tried.clone();
     for _ in 0..RESERVE_ATTEMPTS {
-        let turned = wait::wait_for_turn(prompt, band, &need, &avoided).await?;
-        place_log::placed(core, prompt.request_id, &turned);
-        let (need, placement, fleet) = (turned.need, turned.placement, turned.fleet);
+        let ready = wait::wait_for_dispatch(prompt, band, &need, &avoided).await?;
+        place_log::placed(core, prompt.request_id, &ready);
+        let (need, placement, fleet) = (ready.need, ready.placement, ready.fleet);
         let load_guard = take_load_guard(prompt, &need, &placement);
         if placement.reservations.is_empty() {
             let none = Reservations::none(core);
--- a/crates/mgs-relay/src/place_log.rs
+++ b/crates/mgs-relay/src/place_log.rs
@@ -10,31 +10,31 @@
 use crate::place::Prompt;
 use crate::wait::ReadyPrompt;
 
-/// Logs that a short prompt waits for a spare place.
-pub(crate) fn waits_for_place(prompt: &Prompt<'_>, asked: &dispatch::WaitingPrompt<'_>) {
+/// Logs that a short prompt waits for a spare slot.
+pub(crate) fn waits_for_slot(prompt: &Prompt<'_>, waiting: &dispatch::WaitingPrompt<'_>) {
     log::info!(
         request_id = prompt.request_id,
-        prompt_tokens = asked.need.prompt_tokens,
-        aim_ms = asked.need.ttft_left_ms as i64,
-        left_ms = asked.need.deadline_left_ms as u64,
-        ahead = asked.ahead,
-        spare_per_s = asked.spare_per_s,
-        gateways = asked.gateways,
-        places_taken_permille = asked.placement.snapshot.slots_taken_permille,
-        predicted_first_token_ms = asked.placement.first_token_ms as u64;
+        prompt_tokens = waiting.need.prompt_tokens,
+        aim_ms = waiting.need.ttft_left_ms as i64,
+        left_ms = waiting.need.deadline_left_ms as u64,
+        ahead = waiting.ahead,
+        spare_per_s = waiting.spare_per_s,
+        gateways = waiting.gateways,
+        places_taken_permille = waiting.placement.snapshot.slots_taken_permille,
+        predicted_first_token_ms = waiting.placement.first_token_ms as u64;
         "waits for a place"
     );
 }
 
-/// Logs that a prompt waits for its turn among long ones.
-pub(crate) fn waits_for_turn(prompt: &Prompt<'_>, asked: &dispatch::WaitingPrompt<'_>) {
-    let placement = asked.placement;
+/// Logs that a prompt waits in the queue of long ones.
+pub(crate) fn waits_in_queue(prompt: &Prompt<'_>, waiting: &dispatch::WaitingPrompt<'_>) {
+    let placement = waiting.placement;
     log::info!(
         request_id = prompt.request_id,
-        prompt_tokens = asked.need.prompt_tokens,
-        left_ms = asked.need.deadline_left_ms as u64,
-        score = asked.score.0,
-        best_other_score = asked.best_other().0,
+        prompt_tokens = waiting.need.prompt_tokens,
+        left_ms = waiting.need.deadline_left_ms as u64,
+        score = waiting.score.0,
+        best_other_score = waiting.best_other().0,
         engines_backlog_ms = placement.backlog_ms as u64,
         room = placement.snapshot.engines_for_long,
         predicted_first_token_ms = placement.first_token_ms as u64;
@@ -51,11 +51,11 @@
 }
 
 impl MissingResource {
-    fn of(no_place: &PlacementError) -> Self {
-        let PlacementError::Full { shortage: lack, .. } = no_place else {
+    fn of(error: &PlacementError) -> Self {
+        let PlacementError::Full { shortage, .. } = error else {
             return Self::default();
         };
-        match *lack {
+        match *shortage {
             Shortage::Slot => Self {
                 resource: "place",
                 ..Self::default()
@@ -77,18 +77,18 @@
     prompt: &Prompt<'_>,
     need: &Need,
     usable: usize,
-    no_place: &PlacementError,
+    error: &PlacementError,
     refusal: &Refusal,
 ) {
     let core = prompt.core;
-    let lack = MissingResource::of(no_place);
+    let missing = MissingResource::of(error);
     log::info!(
         request_id = prompt.request_id,
         service = prompt.service,
         reason = refusal.fault.name(),
-        lacks = lack.resource,
-        needed_tokens = lack.needed_tokens,
-        engines_allowed = lack.engines_max,
+        lacks = missing.resource,
+        needed_tokens = missing.needed_tokens,
+        engines_allowed = missing.engines_max,
         retry_after_ms = refusal.retry_after_ms.unwrap_or(0),
         prompt_tokens = need.prompt_tokens,
         left_ms = need.deadline_left_ms as u64,
@@ -101,10 +101,10 @@
     );
 }
 
-/// Logs that a prompt is sent.
-pub(crate) fn placed(core: &Core, request_id: &str, turned: &ReadyPrompt) {
-    let fleet = &turned.fleet;
-    let (need, placement) = (&turned.need, &turned.placement);
+/// Logs the placement of a prompt that is dispatched.
+pub(crate) fn placed(core: &Core, request_id: &str, ready: &ReadyPrompt) {
+    let fleet = &ready.fleet;
+    let (need, placement) = (&ready.need, &ready.placement);
     let first = fleet.by_key.get(&placement.lead);
     let endpoint = first.map_or("gone", |endpoint| endpoint.facts.incarnation.id.as_str());
     let helpers: Vec<&str> = placement
@@ -122,8 +122,8 @@
         prompt_tokens = need.prompt_tokens,
         output_tokens = need.output_tokens,
         expected_tokens = need.expected_tokens,
-        behind_ms = turned.waited.behind_ms,
-        first_in_line_ms = turned.waited.first_ms,
+        behind_ms = ready.waited.behind_ms,
+        first_in_line_ms = ready.waited.first_ms,
         engines = placement.helpers.len() + 1,
         helpers = helpers.join(" "),
         reservations = placement.reservations.len(),
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -68,8 +68,8 @@
     pub connect_timeout_ms: u64,
     /// Placement of prompts on engines.
     pub placing: options::PlacementOptions,
-    /// Order in which long prompts are sent.
-    pub turns: dispatch::DispatchOptions,
+    /// Order in which long prompts are dispatched.
+    pub dispatch: dispatch::DispatchOptions,
     /// Detection of failing endpoints, which are then skipped for a while.
     pub outliers: outlier::Options,
     /// Quarantine of requests that crash endpoints.
@@ -91,7 +91,7 @@
             peer_listen: any_port,
             connect_timeout_ms: 300,
             placing: options::PlacementOptions::default(),
-            turns: dispatch::DispatchOptions::default(),
+            dispatch: dispatch::DispatchOptions::default(),
             outliers: outlier::Options {
                 // An unreachable endpoint never answers, and each request that finds this out costs
                 // its client the time to connect elsewhere.
--- a/crates/mgs-relay/src/wait.rs
+++ b/crates/mgs-relay/src/wait.rs
@@ -1,4 +1,4 @@
-//! Makes a prompt wait until it is its turn, or until it is refused.
+//! Makes a prompt wait until it is dispatched or refused.
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -44,18 +44,18 @@
 /// Largest `Retry-After` under load, in milliseconds.
 pub(crate) const RETRY_AFTER_MAX_MS: u64 = 3_000;
 
-/// Interval at which a waiting prompt checks whether it is its turn.
-const TURN_POLL_INTERVAL: Duration = Duration::from_millis(12);
+/// Interval at which a waiting prompt checks whether it may be dispatched.
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(12);
 
-/// Polls after which a prompt that isn't first in line computes its placement again. Choosing
+/// Polls after which a prompt that isn't first in its queue computes its placement again. Choosing
 /// engines costs more than comparing scores, and dozens may wait on a host with a tenth of a core.
 const POLLS_PER_PLACEMENT: u32 = 20;
 
-/// Short prompts ahead in the wait for a spare place that add one poll interval to the wait: some
-/// of them find a place at each poll.
+/// Short prompts ahead in the wait for a spare slot that add one poll interval to the wait: some of
+/// them find a slot at each poll.
 const AHEAD_PER_POLL: usize = 4;
 
-/// A prompt that may be sent now.
+/// A prompt that may be dispatched now.
 pub(crate) struct ReadyPrompt {
     /// Its need, with the time left now.
     pub(crate) need: Need,
@@ -67,94 +67,96 @@
     pub(crate) waited: WaitTimes,
 }
 
-/// How long a prompt has waited for its turn, by cause.
+/// How long a prompt has waited for its dispatch, by cause.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct WaitTimes {
-    /// While others were ahead of it in its line, in milliseconds.
+    /// While others were ahead of it in its queue, in milliseconds.
     pub(crate) behind_ms: u64,
     /// While it was first and its engines were still busy with earlier prompts, in milliseconds.
     pub(crate) first_ms: u64,
 }
 
-/// Waits until it is the prompt's turn, or returns a refusal.
-pub(crate) async fn wait_for_turn(
+/// Waits until the prompt may be dispatched, or returns a refusal.
+pub(crate) async fn wait_for_dispatch(
     prompt: &Prompt<'_>,
     band: Option<LengthBand>,
     need: impl Fn() -> Need,
     tried: &TriedEndpoints,
 ) -> Result<ReadyPrompt, Refusal> {
     let core = prompt.core;
-    let waiting = WaitingEntry::new(core);
+    let entry = QueueEntry::new(core);
     loop {
         let need = need();
         let fleet = core.published.fleet();
         let ScopedPlacement { placement, scope } = choose_engines(prompt, &fleet, &need, tried)?;
-        let turns = &core.options.turns;
-        // Short prompts have no line, and a hundred arrive per second, so the counts of peers
+        let options = &core.options.dispatch;
+        // Short prompts have no such queue, and a hundred arrive per second, so the counts of peers
         // aren't summed for them.
         let sent_ratio = band.map_or(1.0, |band| core.sent_ratio(band));
-        let own = dispatch::score(&need, &placement, prompt.model, sent_ratio, turns);
-        let asked = dispatch::WaitingPrompt {
+        let own = dispatch::score(&need, &placement, prompt.model, sent_ratio, options);
+        let waiting = dispatch::WaitingPrompt {
             need: &need,
             placement: &placement,
             model: prompt.model,
             score: own,
-            others: waiting.others(scope),
-            ahead: waiting.ahead(),
+            others: entry.others(scope),
+            ahead: entry.ahead(),
             spare_per_s: core.spare.borrow().per_s(core.now_ms()),
             gateways: gateways(core, scope),
         };
-        let is_short = asked.is_short(turns);
-        match dispatch::decide(&asked, turns) {
-            DispatchDecision::Dispatch if is_short && dispatch::needs_spare_slot(&asked, turns) => {
+        let is_short = waiting.is_short(options);
+        match dispatch::decide(&waiting, options) {
+            DispatchDecision::Dispatch
+                if is_short && dispatch::needs_spare_slot(&waiting, options) =>
+            {
                 core.spare.borrow_mut().record(core.now_ms());
-                return Ok(waiting.ready(need, placement, fleet));
+                return Ok(entry.ready(need, placement, fleet));
             }
-            DispatchDecision::Dispatch => return Ok(waiting.ready(need, placement, fleet)),
+            DispatchDecision::Dispatch => return Ok(entry.ready(need, placement, fleet)),
             DispatchDecision::Refuse => {
                 let wait_ms = match is_short {
-                    true => asked.spare_slot_wait_ms(turns),
+                    true => waiting.spare_slot_wait_ms(options),
                     false => placement.backlog_ms,
                 };
                 return Err(refuse_too_late(prompt, &need, &placement, wait_ms));
             }
-            DispatchDecision::Wait if is_returned_on_drain(core, &asked) => {
+            DispatchDecision::Wait if is_returned_on_drain(core, &waiting) => {
                 return Err(Refusal::after(Fault::Leaving, RETRY_AFTER_LEAVING_MS));
             }
             DispatchDecision::Wait => {}
         }
         let is_new = match is_short {
-            true => waiting.list_for_spare(),
-            false => waiting.list(own),
+            true => entry.list_for_spare(),
+            false => entry.list(own),
         };
         match (is_new, is_short) {
-            (true, true) => place_log::waits_for_place(prompt, &asked),
-            (true, false) => place_log::waits_for_turn(prompt, &asked),
+            (true, true) => place_log::waits_for_slot(prompt, &waiting),
+            (true, false) => place_log::waits_in_queue(prompt, &waiting),
             (false, _) => {}
         }
         match is_short {
-            true => waiting.sleep_until_spare_check().await,
-            false => waiting.sleep_until_first(own, scope).await,
+            true => entry.sleep_until_spare_check().await,
+            false => entry.sleep_until_first(own, scope).await,
         }
     }
 }
 
 /// Whether this host drains, and the waiting prompt wouldn't end before it stops.
-fn is_returned_on_drain(core: &Core, asked: &dispatch::WaitingPrompt<'_>) -> bool {
+fn is_returned_on_drain(core: &Core, waiting: &dispatch::WaitingPrompt<'_>) -> bool {
     let left_ms = core.drain.left_ms();
     left_ms.is_some_and(|left_ms| {
-        dispatch::should_return_to_client(asked, left_ms, &core.options.turns)
+        dispatch::should_return_to_client(waiting, left_ms, &core.options.dispatch)
     })
 }
 
 /// Lists a prompt as waiting until dropped.
-struct WaitingEntry {
+struct QueueEntry {
     core: Rc<Core>,
     number: u64,
     waited: Cell<WaitTimes>,
 }
 
-impl WaitingEntry {
+impl QueueEntry {
     fn new(core: &Rc<Core>) -> Self {
         let number = core.next_serial();
         Self {
@@ -183,13 +185,13 @@
         before.is_none()
     }
 
-    /// Lists the prompt among the short ones that wait for a spare place; returns whether it wasn't
+    /// Lists the prompt among the short ones that wait for a spare slot; returns whether it wasn't
     /// listed before.
     fn list_for_spare(&self) -> bool {
         self.core.waiting_for_spare.borrow_mut().insert(self.number)
     }
 
-    /// Number of short prompts that have waited for a spare place for longer.
+    /// Number of short prompts that have waited for a spare slot for longer.
     fn ahead(&self) -> usize {
         let waiting = self.core.waiting_for_spare.borrow();
         waiting.range(..self.number).count()
@@ -198,13 +200,13 @@
     /// Sleeps until the next poll, longer the more prompts are ahead.
     async fn sleep_until_spare_check(&self) {
         let polls = (1 + self.ahead() / AHEAD_PER_POLL).min(POLLS_PER_PLACEMENT as usize);
-        sleep(TURN_POLL_INTERVAL * polls as u32).await;
+        sleep(QUEUE_POLL_INTERVAL * polls as u32).await;
     }
 
-    /// Sleeps until the prompt is first in its line, for at most [`POLLS_PER_PLACEMENT`] polls.
+    /// Sleeps until the prompt is first in its queue, for at most [`POLLS_PER_PLACEMENT`] polls.
     async fn sleep_until_first(&self, own: Score, scope: Scope) {
         for _ in 0..POLLS_PER_PLACEMENT {
-            sleep(TURN_POLL_INTERVAL).await;
+            sleep(QUEUE_POLL_INTERVAL).await;
             let is_first = own <= self.others(scope).head_for(own);
             self.record_poll(is_first);
             if is_first {
@@ -214,7 +216,7 @@
     }
 
     fn record_poll(&self, is_first: bool) {
-        let poll_ms = TURN_POLL_INTERVAL.as_millis() as u64;
+        let poll_ms = QUEUE_POLL_INTERVAL.as_millis() as u64;
         let mut waited = self.waited.get();
         match is_first {
             true => waited.first_ms += poll_ms,
@@ -247,7 +249,7 @@
     }
 }
 
-impl Drop for WaitingEntry {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         self.core
             .waiting_for_spare
@@ -302,9 +304,9 @@
         draw,
         now_ms,
     );
-    chosen.map_err(|no_place| {
-        let refusal = refusal_for(no_place);
-        place_log::not_placed(prompt, need, all.len(), &no_place, &refusal);
+    chosen.map_err(|error| {
+        let refusal = refusal_for(error);
+        place_log::not_placed(prompt, need, all.len(), &error, &refusal);
         refusal
     })
 }
@@ -348,21 +350,15 @@
     placement: &Placement,
     backlog_ms: f64,
 ) -> Refusal {
-    let no_place = PlacementError::TooLate { backlog_ms };
-    let refusal = refusal_for(no_place);
-    place_log::not_placed(
-        prompt,
-        need,
-        placement.snapshot.engines,
-        &no_place,
-        &refusal,
-    );
+    let error = PlacementError::TooLate { backlog_ms };
+    let refusal = refusal_for(error);
+    place_log::not_placed(prompt, need, placement.snapshot.engines, &error, &refusal);
     refusal
 }
 
-fn refusal_for(no_place: PlacementError) -> Refusal {
+fn refusal_for(error: PlacementError) -> Refusal {
     let after = |backlog_ms: f64| (backlog_ms as u64).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS);
-    match no_place {
+    match error {
         PlacementError::NoEndpoint => no_endpoint(),
         PlacementError::TooLarge => Refusal::of(Fault::TooLarge),
         PlacementError::TooLate { backlog_ms } => Refusal::after(Fault::TooLate, after(backlog_ms)),
--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -36,7 +36,7 @@
 const LOG_LEVEL: &str = "log-level";
 const METRICS_PORT: &str = "metrics-port";
 const PLACING: &str = "placing";
-const TURNS: &str = "turns";
+const DISPATCH: &str = "turns";
 
 const PARAMETERS_PLACEHOLDER: &str = "NAME=VALUE,...";
 
@@ -87,7 +87,7 @@
         )
         .arg(
             value_argument(
-                TURNS,
+                DISPATCH,
                 PARAMETERS_PLACEHOLDER,
                 "Parameters of the queueing order of long prompts that differ from their defaults",
             )
@@ -123,7 +123,7 @@
     }
     let metrics_port = values.number(METRICS_PORT, 1..=u16::MAX);
     let placing = parameter_overrides(&mut values, PLACING, options::PlacementOptions::with);
-    let turns = parameter_overrides(&mut values, TURNS, dispatch::DispatchOptions::with);
+    let dispatch = parameter_overrides(&mut values, DISPATCH, dispatch::DispatchOptions::with);
     values.finish()?;
     let command_error = |error: String| Error::Failed(error);
     let settings = Settings::read(&path).map_err(|error| command_error(error.to_string()))?;
@@ -132,7 +132,7 @@
     serve(
         path,
         settings,
-        ParameterOverrides { placing, turns },
+        ParameterOverrides { placing, dispatch },
         metrics_port,
     )
 }
@@ -140,7 +140,7 @@
 /// Parameters of placing and of the queueing order that the command line overrides.
 struct ParameterOverrides {
     placing: options::PlacementOptions,
-    turns: dispatch::DispatchOptions,
+    dispatch: dispatch::DispatchOptions,
 }
 
 fn parameter_overrides<O: Default>(
@@ -167,7 +167,7 @@
     let command_error = |error: String| Error::Failed(error);
     let mut startup_options = gateway_options(&settings);
     startup_options.relay.placing = overrides.placing;
-    startup_options.relay.turns = overrides.turns;
+    startup_options.relay.dispatch = overrides.dispatch;
     let published = Arc::new(Published::new());
     log::info!(host = settings.host_name, zone = settings.zone, store:% = settings.store; "started");
     let registry = Registry::new();
