--- a/crates/mgs-durable/src/lease.rs
+++ b/crates/mgs-durable/src/lease.rs
@@ -72,7 +72,7 @@
 const REMEMBER_MS: u64 = 48 * 3_600_000;
 
 /// When to scan all rows again, in milliseconds: at each beat, or as often as
-/// [`SCAN_BYTES_PER_S`] allows for so many rows.
+/// `SCAN_BYTES_PER_S` allows for so many rows.
 ///
 /// ```
 /// use mgs_durable::lease::scan_interval_ms;
--- a/crates/mgs-placing/src/engine_state.rs
+++ b/crates/mgs-placing/src/engine_state.rs
@@ -59,8 +59,8 @@
     pub(crate) free_tokens: u64,
     /// Ratio of actual to predicted response times, at least 1.
     pub(crate) slowness: f64,
-    /// Whether it is on trial after failures.
-    pub(crate) on_trial: bool,
+    /// Whether it is on probation after failures.
+    pub(crate) on_probation: bool,
     /// Whether it accepts parts of prompts as a helper.
     can_help: bool,
     /// Whether it may get a request as the lead.
@@ -93,7 +93,7 @@
             decode_cost: model.decode_cost(),
             free_tokens: model.memory_tokens.saturating_sub(used_tokens),
             slowness: 1.0,
-            on_trial: candidate.on_trial,
+            on_probation: candidate.on_probation,
             can_help: candidate.can_help,
             can_lead: candidate.can_lead,
         };
@@ -123,7 +123,7 @@
 
     /// Whether it may prefill a part for another lead engine.
     pub(crate) fn may_help(&self, model: &EngineModel) -> bool {
-        self.can_help && !self.on_trial && u32::from(self.load.parts) + 1 < model.slots
+        self.can_help && !self.on_probation && u32::from(self.load.parts) + 1 < model.slots
     }
 
     /// Replaces the assumed slowness and scales the predicted times.
--- a/crates/mgs-placing/src/evaluation.rs
+++ b/crates/mgs-placing/src/evaluation.rs
@@ -314,7 +314,7 @@
         lateness
             + engine.prefill_harm(prefill_ms)
             + self.co_location_loss(engine)
-            + self.trial_loss(engine)
+            + self.probation_loss(engine)
     }
 
     /// Rank of an engine for a part: its loss in coarse steps, so that nearly equal engines tie and
@@ -331,13 +331,13 @@
     /// better, also where the part would overtake queued work.
     fn part_loss(&self, engine: &EngineState<'_>, part_ms: f64) -> f64 {
         let lateness = self.lateness_loss(engine, engine.ready_ms(part_ms));
-        lateness + engine.prefill_harm(part_ms) + self.trial_loss(engine)
+        lateness + engine.prefill_harm(part_ms) + self.probation_loss(engine)
     }
 
-    /// Penalty for an engine on trial, in units: a single request is enough to show whether it has
+    /// Penalty for an engine on probation, in units: a single request is enough to show whether it has
     /// recovered.
-    fn trial_loss(&self, engine: &EngineState<'_>) -> f64 {
-        if !engine.on_trial {
+    fn probation_loss(&self, engine: &EngineState<'_>) -> f64 {
+        if !engine.on_probation {
             return 0.0;
         }
         self.worth_units * f64::from(1 + engine.running.min(4))
--- a/crates/mgs-placing/src/placement.rs
+++ b/crates/mgs-placing/src/placement.rs
@@ -9,8 +9,8 @@
     pub key: EndpointKey,
     /// Ratio of actual to predicted response times; 1 if as predicted.
     pub slowness: f64,
-    /// Whether it is on trial after failures.
-    pub on_trial: bool,
+    /// Whether it is on probation after failures.
+    pub on_probation: bool,
     /// Whether it accepts parts of prompts as a helper.
     pub can_help: bool,
     /// Whether it may get a request as the lead now; if not, it may still act as a helper.
@@ -18,7 +18,7 @@
 }
 
 impl Candidate {
-    /// A candidate at its predicted speed that may lead and help and isn't on trial.
+    /// A candidate at its predicted speed that may lead and help and isn't on probation.
     ///
     /// ```
     /// use mgs_fleet::view::EndpointKey;
@@ -31,7 +31,7 @@
         Self {
             key,
             slowness: 1.0,
-            on_trial: false,
+            on_probation: false,
             can_help: true,
             can_lead: true,
         }
--- a/crates/mgs-placing/src/plain.rs
+++ b/crates/mgs-placing/src/plain.rs
@@ -16,17 +16,17 @@
     pub slots: u32,
     /// Whether it is in the gateway's own availability zone.
     pub in_own_zone: bool,
-    /// Whether it is on trial after failures. It then counts as more loaded, so that it is chosen
+    /// Whether it is on probation after failures. It then counts as more loaded, so that it is chosen
     /// mainly while it is idle or if no other endpoint is left.
-    pub on_trial: bool,
+    pub on_probation: bool,
 }
 
 /// Added to the load of an endpoint in another zone, in calls: the round trip takes about a tenth
 /// of a call.
 const OTHER_ZONE_CALLS: f64 = 0.1;
 
-/// Added to the load of an endpoint on trial, in calls.
-const TRIAL_CALLS: f64 = 2.0;
+/// Added to the load of an endpoint on probation, in calls.
+const PROBATION_CALLS: f64 = 2.0;
 
 /// The endpoint with the least load per slot, or `None` without candidates.
 ///
@@ -46,8 +46,8 @@
         if !candidate.in_own_zone {
             calls += OTHER_ZONE_CALLS;
         }
-        if candidate.on_trial {
-            calls += TRIAL_CALLS;
+        if candidate.on_probation {
+            calls += PROBATION_CALLS;
         }
         calls / f64::from(candidate.slots.max(1))
     };
--- a/crates/mgs-placing/src/split_memory.rs
+++ b/crates/mgs-placing/src/split_memory.rs
@@ -89,12 +89,12 @@
     })
 }
 
-/// The engine with the most room that may lead and isn't on trial.
+/// The engine with the most room that may lead and isn't on probation.
 fn roomiest_engine<'a>(evaluation: &'a Evaluation<'a>) -> Option<&'a EngineState<'a>> {
     evaluation
         .engines
         .iter()
-        .filter(|engine| evaluation.has_slot(engine) && !engine.on_trial)
+        .filter(|engine| evaluation.has_slot(engine) && !engine.on_probation)
         .max_by(|a, b| room_tokens(a).total_cmp(&room_tokens(b)))
 }
 
--- a/crates/mgs-quarantine/src/record.rs
+++ b/crates/mgs-quarantine/src/record.rs
@@ -42,7 +42,7 @@
 }
 
 /// Most crashes kept in one record, helpers included: enough for three runs of a prompt that is
-/// read by as many engines as allowed. All of them still fit a datagram.
+/// prefilled by as many engines as allowed. All of them still fit a datagram.
 pub const CRASHES_PER_RECORD_MAX: usize = 64;
 
 /// Most ends of endpoints that are kept, whatever the endpoints were running.
--- a/crates/mgs-quarantine/tests/table.rs
+++ b/crates/mgs-quarantine/tests/table.rs
@@ -154,7 +154,7 @@
     assert_eq!(peer.verdict(REQUEST), Verdict::Held);
 }
 
-/// The engines that read parts of a long prompt end together with the one that generates.
+/// The engines that prefill parts of a long prompt end together with the one that generates.
 #[test]
 fn helpers_that_end_with_the_writer_are_one_crash_and_no_unrelated_ends() {
     let mut quarantine = empty();
--- a/crates/mgs-relay/src/dialect.rs
+++ b/crates/mgs-relay/src/dialect.rs
@@ -33,7 +33,7 @@
 }
 
 impl ClientRequest {
-    /// Size of the request in read tokens, with the answer length that the client expects or, if it
+    /// Size of the request in prefill tokens, with the answer length that the client expects or, if it
     /// states none, the longest that it accepts.
     pub fn size_tokens(&self) -> u64 {
         let answer = self.expected_tokens.unwrap_or(self.output_tokens);
@@ -53,7 +53,7 @@
     Field(String),
 }
 
-/// An engine that reads a part of the prompt.
+/// An engine that prefills a part of the prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Helper {
     /// Address at which the engine listens.
@@ -73,7 +73,7 @@
     pub organisation: Option<String>,
     /// Rank at the engine from 0 (first) to 9; `None` for services without an engine model.
     pub rank: Option<u8>,
-    /// Engines that read parts of the prompt.
+    /// Engines that prefill parts of the prompt.
     pub helpers: Vec<Helper>,
     /// The last event that was forwarded, if a stream is resumed.
     pub last_event_id: Option<String>,
--- a/crates/mgs-relay/src/helper_refusals.rs
+++ b/crates/mgs-relay/src/helper_refusals.rs
@@ -1,11 +1,11 @@
-//! Tracks endpoints that refuse to help, that is, to read parts of prompts that other endpoints
+//! Tracks endpoints that refuse to help, that is, to prefill parts of prompts that other endpoints
 //! answer.
 //!
 //! The case this handles: endpoints start to leave while the store is unavailable and can't
 //! announce it. Each still serves its own requests and refuses to help, so its responses look
 //! healthy, and a prompt that uses eight helpers almost always meets one of a dozen such endpoints.
 //! A refusal is therefore kept beyond its request and reported to the other gateways at once. It is
-//! cancelled by newer evidence: a prompt read with the endpoint's help, or confirmation by the
+//! cancelled by newer evidence: a prompt prefilled with the endpoint's help, or confirmation by the
 //! store that the endpoint stays. A later incarnation of the endpoint has another key and starts
 //! without refusals.
 
@@ -24,7 +24,7 @@
 const REFUSAL_MAX_MS: u64 = 10_000;
 
 /// How long an endpoint isn't asked that was busy or lacked a reservation, in milliseconds; about
-/// the time to read a part of a prompt.
+/// the time to prefill a part of a prompt.
 const BUSY_MS: u64 = 300;
 
 /// Largest share of a service's endpoints that is excluded from helping. Rarely do more leave at
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Records that endpoints have read parts of a prompt that was sent at `sent_ms`.
+    /// Records that endpoints have prefilled parts of a prompt that was sent at `sent_ms`.
     pub fn record_help(&mut self, endpoints: &[EndpointKey], sent_ms: u64) {
         for endpoint in endpoints {
             let known = self.refusals.get(endpoint);
--- a/crates/mgs-relay/src/lost_run.rs
+++ b/crates/mgs-relay/src/lost_run.rs
@@ -61,7 +61,7 @@
     pub(crate) request_id: String,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) endpoint: Arc<Endpoint>,
-    /// Endpoints that read parts of its prompt.
+    /// Endpoints that prefill parts of its prompt.
     pub(crate) helpers: Vec<Arc<Endpoint>>,
     /// Number of events that it had produced.
     pub(crate) reached: u32,
--- a/crates/mgs-relay/src/place.rs
+++ b/crates/mgs-relay/src/place.rs
@@ -100,7 +100,7 @@
     present.to_vec()
 }
 
-pub(crate) fn is_on_trial(core: &Core, endpoint: &Endpoint) -> bool {
+pub(crate) fn is_on_probation(core: &Core, endpoint: &Endpoint) -> bool {
     let now_ms = core.now_whole_ms();
     core.outliers.health(endpoint.key, now_ms) != Health::Healthy
 }
@@ -128,7 +128,7 @@
         key: endpoint.key,
         slots: endpoint.facts.slots,
         in_own_zone: endpoint.facts.zone == core.options.zone,
-        on_trial: is_on_trial(core, endpoint),
+        on_probation: is_on_probation(core, endpoint),
     };
     let candidates: Vec<plain::Candidate> = endpoints.iter().map(candidate).collect();
     let chosen = plain::choose_endpoint(&candidates, &core.load_table.borrow());
--- a/crates/mgs-relay/src/wait.rs
+++ b/crates/mgs-relay/src/wait.rs
@@ -29,7 +29,7 @@
 use crate::fault::Refusal;
 use crate::place::active_endpoints;
 use crate::place::eligible_endpoints;
-use crate::place::is_on_trial;
+use crate::place::is_on_probation;
 use crate::place::no_endpoint;
 use crate::place::Prompt;
 use crate::place::TriedEndpoints;
@@ -282,7 +282,7 @@
     let candidate = |endpoint: &Arc<Endpoint>| Candidate {
         key: endpoint.key,
         slowness: core.outliers.slowness(endpoint.key),
-        on_trial: is_on_trial(core, endpoint),
+        on_probation: is_on_probation(core, endpoint),
         can_help: !refusing.contains(&endpoint.key),
         can_lead: !blocked.contains(endpoint),
     };
--- a/crates/mgs-settings/src/store.rs
+++ b/crates/mgs-settings/src/store.rs
@@ -5,7 +5,7 @@
 //! | `settings/head` | [`Head`]: version of the newest edit and its identifier |
 //! | `settings/log/VERSION` | one [`Edit`], for the newest versions |
 //! | `settings/compacted` | [`Compacted`]: which snapshot the rest of the log follows on |
-//! | object `settings/snapshot/VERSION` | a [`Snapshot`] |
+//! | object `settings/snapshot/VERSION` | a [`Snapshot`](mgs_schema::settings::Snapshot) |
 //! | object `settings/archive/FIRST` | the [`ARCHIVE_EDITS`] edits from `FIRST` on |
 //!
 //! Values are JSON. An edit is one transaction on the head's version that sets the head and
