--- a/crates/mgs-backpressure/src/table.rs
+++ b/crates/mgs-backpressure/src/table.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Whether this also excludes the endpoint as a helper that prefills a part of another endpoint's
-    /// prompt. A limit only restricts the endpoint's own requests.
+    /// Whether this also excludes the endpoint as a helper that prefills a part of another
+    /// endpoint's prompt. A limit only restricts the endpoint's own requests.
     pub fn blocks_helpers(self) -> bool {
         self != Self::Limit
     }
--- a/crates/mgs-placing/src/evaluation.rs
+++ b/crates/mgs-placing/src/evaluation.rs
@@ -214,8 +214,8 @@
             && part_ms >= self.options.part_min_passes * self.model.min_pass_ms()
     }
 
-    /// The best placement on `width` engines with a prefill of `part_ms` each; `None` without enough
-    /// engines.
+    /// The best placement on `width` engines with a prefill of `part_ms` each; `None` without
+    /// enough engines.
     pub(crate) fn placement_for_width(&self, width: usize, part_ms: f64) -> Option<Placement> {
         let is_shared = width > 1;
         if !is_shared {
@@ -334,8 +334,8 @@
         lateness + engine.prefill_harm(part_ms) + self.probation_loss(engine)
     }
 
-    /// Penalty for an engine on probation, in units: a single request is enough to show whether it has
-    /// recovered.
+    /// Penalty for an engine on probation, in units: a single request is enough to show whether it
+    /// has recovered.
     fn probation_loss(&self, engine: &EngineState<'_>) -> f64 {
         if !engine.on_probation {
             return 0.0;
@@ -368,8 +368,8 @@
         self.options.open_other_units / (1.0 + f64::from(engine.running_long()))
     }
 
-    /// Loss of the prompt if the engine, as its lead, emits the first token after `first_token_ms`, in
-    /// units. Once its target has passed, only ending before the deadline counts, and the prompt
+    /// Loss of the prompt if the engine, as its lead, emits the first token after `first_token_ms`,
+    /// in units. Once its target has passed, only ending before the deadline counts, and the prompt
     /// justifies no more harm to others than that.
     fn lateness_loss(&self, engine: &EngineState<'_>, first_token_ms: f64) -> f64 {
         let need = self.need;
--- a/crates/mgs-placing/src/placement.rs
+++ b/crates/mgs-placing/src/placement.rs
@@ -25,7 +25,7 @@
     /// use mgs_placing::placement::Candidate;
     ///
     /// let slow = Candidate { slowness: 2.0, ..Candidate::of(EndpointKey(7)) };
-    /// assert!(slow.can_help && !slow.on_trial);
+    /// assert!(slow.can_help && !slow.on_probation);
     /// ```
     pub fn of(key: EndpointKey) -> Self {
         Self {
--- a/crates/mgs-placing/src/plain.rs
+++ b/crates/mgs-placing/src/plain.rs
@@ -16,8 +16,8 @@
     pub slots: u32,
     /// Whether it is in the gateway's own availability zone.
     pub in_own_zone: bool,
-    /// Whether it is on probation after failures. It then counts as more loaded, so that it is chosen
-    /// mainly while it is idle or if no other endpoint is left.
+    /// Whether it is on probation after failures. It then counts as more loaded, so that it is
+    /// chosen mainly while it is idle or if no other endpoint is left.
     pub on_probation: bool,
 }
 
@@ -36,7 +36,7 @@
 /// use mgs_placing::plain::choose_endpoint;
 /// use mgs_placing::plain::Candidate;
 ///
-/// let far = Candidate { key: EndpointKey(0), slots: 6, in_own_zone: false, on_trial: false };
+/// let far = Candidate { key: EndpointKey(0), slots: 6, in_own_zone: false, on_probation: false };
 /// let near = Candidate { key: EndpointKey(1), in_own_zone: true, ..far };
 /// assert_eq!(choose_endpoint(&[far, near], &LoadTable::new()), Some(EndpointKey(1)));
 /// ```
--- a/crates/mgs-quarantine/src/table.rs
+++ b/crates/mgs-quarantine/src/table.rs
@@ -126,8 +126,8 @@
         self.update(fingerprint, now_ms, |record| record.add(crash));
     }
 
-    /// Records that a helper, which had prefilled a part of the request's prompt, ended together with
-    /// the endpoint that ran the request. It doesn't count against the request, but isn't an
+    /// Records that a helper, which had prefilled a part of the request's prompt, ended together
+    /// with the endpoint that ran the request. It doesn't count against the request, but isn't an
     /// unrelated end either.
     pub fn record_helper_crash(&mut self, fingerprint: Fingerprint, incarnation: u64, now_ms: f64) {
         let crash = Crash {
--- a/crates/mgs-relay/src/advice.rs
+++ b/crates/mgs-relay/src/advice.rs
@@ -83,7 +83,7 @@
 
 impl Core {
     /// Takes the advice in a response to a request that was sent at `sent_ms`.
-    pub(crate) fn hear_advice(
+    pub(crate) fn apply_advice(
         &self,
         endpoint: &Endpoint,
         client_request: &ClientRequest,
@@ -162,7 +162,7 @@
     }
 
     /// Advice about endpoints to send to peers.
-    pub(crate) fn advice_to_tell(&self, is_full: bool) -> Vec<AdviceAt> {
+    pub(crate) fn take_peer_advice(&self, is_full: bool) -> Vec<AdviceAt> {
         let now_ms = self.now_ms();
         let updates = self
             .backpressure
@@ -182,7 +182,7 @@
     }
 
     /// Takes the advice about endpoints in a peer's message.
-    pub(crate) fn hear_peer_advice(&self, message: &PeerMessage) {
+    pub(crate) fn apply_peer_advice(&self, message: &PeerMessage) {
         let now_ms = self.now_ms();
         let mut table = self.backpressure.borrow_mut();
         table.observe_peer_clock(message.clock_ms as f64, now_ms);
--- a/crates/mgs-relay/src/attempt.rs
+++ b/crates/mgs-relay/src/attempt.rs
@@ -90,7 +90,7 @@
         Err(error) => return no_answer(&error),
     };
     let (head, body) = response.into_parts();
-    core.hear_advice(endpoint, client_request, &head, sent_ms);
+    core.apply_advice(endpoint, client_request, &head, sent_ms);
     match core.dialect.classify_response(client_request, &head) {
         ResponseKind::NotRun { reason, at_fault } => not_run(reason, at_fault),
         ResponseKind::Foreign(foreign) => unusable(&foreign.to_string()),
--- a/crates/mgs-relay/src/broadcast.rs
+++ b/crates/mgs-relay/src/broadcast.rs
@@ -121,7 +121,7 @@
             zone: core.zone,
             waiting: core.queue_heads(),
             clock_ms: core.shared_clock_ms(),
-            advice: core.advice_to_tell(is_full),
+            advice: core.take_peer_advice(is_full),
             ..PeerMessage::default()
         };
         let fleet = core.published.fleet();
--- a/crates/mgs-relay/src/dialect.rs
+++ b/crates/mgs-relay/src/dialect.rs
@@ -33,8 +33,8 @@
 }
 
 impl ClientRequest {
-    /// Size of the request in prefill tokens, with the answer length that the client expects or, if it
-    /// states none, the longest that it accepts.
+    /// Size of the request in prefill tokens, with the answer length that the client expects or, if
+    /// it states none, the longest that it accepts.
     pub fn size_tokens(&self) -> u64 {
         let answer = self.expected_tokens.unwrap_or(self.output_tokens);
         let answer = answer.min(self.output_tokens);
--- a/crates/mgs-relay/src/dispatch_outcome.rs
+++ b/crates/mgs-relay/src/dispatch_outcome.rs
@@ -54,7 +54,7 @@
                 ..
             } => {
                 if *is_refused {
-                    core.note_connection_refused(key);
+                    core.record_connection_refused(key);
                 }
                 if *is_lost {
                     core.outliers.record_failure(key, now_ms);
--- a/crates/mgs-relay/src/helper_refusals.rs
+++ b/crates/mgs-relay/src/helper_refusals.rs
@@ -164,13 +164,13 @@
     /// forwarding would make them look newer each time.
     pub fn take_reports(
         &mut self,
-        is_all: bool,
+        is_full: bool,
         now_ms: u64,
         confirmed_ms: Option<u64>,
     ) -> Vec<(EndpointKey, u64)> {
         let mut reports = Vec::new();
         for (endpoint, refusal) in &mut self.refusals {
-            let is_due = refusal.is_own && refusal.is_leaving && (is_all || !refusal.is_reported);
+            let is_due = refusal.is_own && refusal.is_leaving && (is_full || !refusal.is_reported);
             if is_due && is_in_force(refusal, now_ms, confirmed_ms) {
                 refusal.is_reported = true;
                 reports.push((*endpoint, now_ms.saturating_sub(refusal.at_ms)));
--- a/crates/mgs-relay/src/load_guard.rs
+++ b/crates/mgs-relay/src/load_guard.rs
@@ -61,11 +61,11 @@
         }
         self.loads.retain(|(_, load)| !is_part(load));
         drop(load_table);
-        self.tell_freed();
+        self.announce_freed();
     }
 
     /// Tells peers at once of released load, where that is worth a message.
-    fn tell_freed(&self) {
+    fn announce_freed(&self) {
         if self.is_shared || self.core.has_few_peers() {
             self.core.announce_freed();
         }
@@ -107,6 +107,6 @@
                 part: PrefillPart::GivenUp,
             });
         self.core.unreported_prefills.borrow_mut().extend(given_up);
-        self.tell_freed();
+        self.announce_freed();
     }
 }
--- a/crates/mgs-relay/src/lost_run.rs
+++ b/crates/mgs-relay/src/lost_run.rs
@@ -151,7 +151,7 @@
     match Connection::open(endpoint.facts.address, PROBE_TIMEOUT).await {
         Ok(_) => EndpointFate::Alive,
         Err(CallError::Refused(_)) => {
-            core.note_connection_refused(endpoint.key);
+            core.record_connection_refused(endpoint.key);
             EndpointFate::Ended
         }
         Err(error) => {
--- a/crates/mgs-relay/src/peers.rs
+++ b/crates/mgs-relay/src/peers.rs
@@ -203,7 +203,7 @@
             .borrow_mut()
             .record_reported(gateways as usize);
     }
-    core.hear_peer_advice(message);
+    core.apply_peer_advice(message);
     let fleet = core.published.fleet();
     let by_hash = core.published.endpoint_keys_by_hash();
     let key_of = |hash: u64| by_hash.get(&hash).copied();
--- a/crates/mgs-relay/src/quarantine.rs
+++ b/crates/mgs-relay/src/quarantine.rs
@@ -232,7 +232,7 @@
 
     /// Records that an endpoint refuses connections: its process has ended, or a network cut makes
     /// it unreachable.
-    pub(crate) fn note_connection_refused(&self, endpoint: EndpointKey) {
+    pub(crate) fn record_connection_refused(&self, endpoint: EndpointKey) {
         let now_ms = self.now_ms();
         let mut refuse_since_ms = self.crashes.refuse_since_ms.borrow_mut();
         refuse_since_ms.entry(endpoint).or_insert(now_ms);
