--- a/crates/mgs-relay/src/crash_gossip.rs
+++ b/crates/mgs-relay/src/crash_gossip.rs
@@ -1,7 +1,7 @@
-//! Exchange of reports on requests that crash endpoints between gateways.
+//! Exchange of records of requests that crash endpoints between gateways.
 //!
-//! A report that makes a verdict more severe is sent to all peers at once, and once more later,
-//! since datagrams get lost. A report that makes it milder waits for the next interval. Every
+//! A record that makes a verdict more severe is sent to all peers at once, and once more later,
+//! since datagrams get lost. A record that makes it milder waits for the next interval. Every
 //! second, one random peer is sent all severe verdicts, so that a peer that was cut off learns them
 //! too. A peer that is heard for the first time is sent them at once.
 
@@ -24,13 +24,13 @@
 use crate::peers::PeerTable;
 use crate::traffic::TrafficKind;
 
-/// Longest delay of a report that isn't urgent, and the delay before an urgent one is repeated.
+/// Longest delay of a record that isn't urgent, and the delay before an urgent one is repeated.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time between sending all severe verdicts to one random peer and to the next.
 const RANDOM_PEER_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sends reports until the process ends.
+/// Sends records until the process ends.
 pub(crate) async fn run(core: Rc<Core>, socket: Rc<UdpSocket>, peer_table: Rc<RefCell<PeerTable>>) {
     let mut to_repeat: Vec<Fingerprint> = Vec::new();
     let mut random_peer_at = Instant::now() + RANDOM_PEER_INTERVAL;
@@ -109,7 +109,7 @@
     }
 }
 
-/// Encodes reports as datagrams of at most [`MESSAGE_BYTES_MAX`] bytes.
+/// Encodes records as datagrams of at most [`MESSAGE_BYTES_MAX`] bytes.
 fn split_into_datagrams(from: u64, records: Vec<SharedRecord>) -> Vec<Vec<u8>> {
     let mut datagrams = Vec::new();
     let mut rest = records;
--- a/crates/mgs-relay/src/traffic.rs
+++ b/crates/mgs-relay/src/traffic.rs
@@ -86,16 +86,16 @@
     loop {
         sleep(REPORT_INTERVAL).await;
         let totals = core.traffic.drain_into(&core.metrics.bytes);
-        let [requests, dispatches, answers, short_messages, whole_messages, crash_messages, messages_heard] =
+        let [requests, dispatches, answers, short_messages, full_messages, crash_messages, received_messages] =
             totals;
         log::info!(
             requests = requests,
             dispatches = dispatches,
             answers = answers,
             short_messages = short_messages,
-            whole_messages = whole_messages,
+            whole_messages = full_messages,
             crash_messages = crash_messages,
-            messages_heard = messages_heard;
+            messages_heard = received_messages;
             "bytes carried"
         );
     }
