--- a/crates/mgs-relay/src/dispatcher.rs
+++ b/crates/mgs-relay/src/dispatcher.rs
@@ -56,8 +56,8 @@
 /// allowed, so that a dispatch that hangs leaves time for the next.
 const DISPATCH_SHARE: f64 = 0.5;
 
-/// Delay before a request is placed again after its endpoint was shut, so that other requests are
-/// served meanwhile.
+/// Delay before a request is placed again after its endpoint was blocked, so that other requests
+/// are served meanwhile.
 const PLACEMENT_RETRY_DELAY: Duration = Duration::from_millis(2);
 
 /// Largest rank that engines accept; the largest rank is served last.
@@ -69,8 +69,8 @@
     pub(crate) client_request: ClientRequest,
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
-    /// Key shared by all requests for the same work.
-    pub(crate) work: Fingerprint,
+    /// Identifies repetitions of the request.
+    pub(crate) fingerprint: Fingerprint,
     pub(crate) route: Arc<Route>,
     pub(crate) organisation: Option<Arc<Organisation>>,
     pub(crate) service: String,
@@ -78,7 +78,7 @@
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
     pub(crate) progress: DispatchProgress,
-    /// What the quarantine allows for this request, since its work may have crashed endpoints.
+    /// What the quarantine allows for this request, since it may have crashed endpoints.
     pub(crate) permission: Permission,
 }
 
@@ -97,7 +97,7 @@
 
 /// A response that can be forwarded to the client.
 pub(crate) enum UsableResponse {
-    Whole(Box<FullResponse>),
+    Full(Box<FullResponse>),
     Stream(Box<StartedStream>),
 }
 
@@ -129,10 +129,10 @@
                 .place_and_wait()
                 .await
                 .map_err(|refusal| self.unknown_if_run(refusal))?;
-            // The work may have crashed other endpoints while this request waited.
+            // The request may have crashed other endpoints while this request waited.
             self.recheck_quarantine()?;
             let failed = match self.dispatch(placed, last_event_id).await {
-                Ok(got) => return Ok(got),
+                Ok(response) => return Ok(response),
                 Err(failed) => failed,
             };
             self.core.metrics.dispatches.inc(failed.name);
@@ -144,22 +144,22 @@
         }
     }
 
-    /// Refuses a request whose work is quarantined, and records what is allowed otherwise.
+    /// Refuses a request that is held, and records what is allowed otherwise.
     fn check_quarantine(&mut self) -> Result<(), Refusal> {
         let permission = match self.progress.dispatches {
-            0 => self.core.permission_to_begin(self.work),
-            _ => self.core.permission(self.work),
+            0 => self.core.permission_to_begin(self.fingerprint),
+            _ => self.core.permission(self.fingerprint),
         };
         self.permission = permission.map_err(|refusal| self.unknown_if_run(refusal))?;
         Ok(())
     }
 
-    /// Refuses a request whose work was quarantined after it was placed.
+    /// Refuses a request that was held after it was placed.
     fn recheck_quarantine(&self) -> Result<(), Refusal> {
         if self.permission == Permission::Trial {
             return Ok(());
         }
-        let permission = self.core.permission(self.work);
+        let permission = self.core.permission(self.fingerprint);
         permission
             .map(|_| ())
             .map_err(|refusal| self.unknown_if_run(refusal))
@@ -175,8 +175,8 @@
     }
 
     /// Places the request and waits until its engines have finished what was placed before. If one
-    /// of the chosen endpoints leaves or is shut meanwhile, it gets nothing new and the request is
-    /// placed again.
+    /// of the chosen endpoints leaves or is blocked meanwhile, it gets nothing new and the request
+    /// is placed again.
     async fn place_and_wait(&self) -> Result<PlacedRequest, Refusal> {
         loop {
             let placed = self.place().await?;
@@ -192,7 +192,9 @@
             }
             match self.core.permit_dispatch(&placed.endpoint) {
                 Ok(()) => return Ok(placed),
-                Err(shut) => advice::log_shut(&self.client_request, &placed.endpoint, shut),
+                Err(blocked) => {
+                    advice::log_blocked(&self.client_request, &placed.endpoint, blocked)
+                }
             }
             drop(placed);
             sleep(PLACEMENT_RETRY_DELAY).await;
@@ -216,7 +218,7 @@
             .filter(|e| !barred_endpoints.contains(&e.key));
         Err(self
             .core
-            .shut()
+            .blocked_endpoints()
             .refusal(open, &self.client_request.request_id))
     }
 
@@ -248,7 +250,7 @@
         Some(quarantine::barred_endpoints(
             &fleet,
             &self.service,
-            self.work,
+            self.fingerprint,
             tried,
         ))
     }
@@ -306,7 +308,7 @@
             &self.client_request,
             is_streaming,
         );
-        let ended = match self.first_response_timeout(&placed) {
+        let result = match self.first_response_timeout(&placed) {
             None => sending.await,
             Some(patience) => timeout(patience, sending)
                 .await
@@ -314,10 +316,10 @@
         };
         self.progress.in_flight = false;
         let took_ms = start.elapsed().as_millis() as u64;
-        let ended = self.with_helper_at_fault(&placed, ended);
-        self.record_outcome(&placed, &ended, took_ms);
-        match ended {
-            DispatchResult::Whole { head, body } => self.accept_full(head, body, endpoint.key),
+        let result = self.with_helper_at_fault(&placed, result);
+        self.record_outcome(&placed, &result, took_ms);
+        match result {
+            DispatchResult::Full { head, body } => self.accept_full(head, body, endpoint.key),
             DispatchResult::Started { head, stream } => {
                 placed.load_guard.record_first_token();
                 self.progress.runs += 1;
@@ -371,10 +373,10 @@
         self.progress.runs += 1;
         self.core.traffic.add(TrafficKind::Answers, body.len());
         if head.status.is_success() {
-            self.core.record_completion(self.work);
+            self.core.record_completion(self.fingerprint);
         }
         if !head.status.is_server_error() {
-            return Ok(UsableResponse::Whole(Box::new(FullResponse { head, body })));
+            return Ok(UsableResponse::Full(Box::new(FullResponse { head, body })));
         }
         self.progress.tried.push(endpoint);
         Err(FailedDispatch {
@@ -406,7 +408,7 @@
     }
 
     fn may_try_again(&self, failed: &FailedDispatch) -> bool {
-        if self.permission == Permission::Trial || self.core.permission(self.work).is_err() {
+        if self.permission == Permission::Trial || self.core.permission(self.fingerprint).is_err() {
             return false;
         }
         if self.time_left().is_zero() || !self.progress.allows_another_dispatch() {
@@ -457,7 +459,7 @@
         LostRun {
             helpers: helpers.collect(),
             request_id: self.client_request.request_id.clone(),
-            work: self.work,
+            fingerprint: self.fingerprint,
             endpoint: placed.endpoint.clone(),
             reached,
         }
--- a/crates/mgs-relay/src/place.rs
+++ b/crates/mgs-relay/src/place.rs
@@ -1,4 +1,4 @@
-//! Chooses the endpoints of a request: prepares the fleet and the load board for `mgs-placing`.
+//! Chooses the endpoints of a request: prepares the fleet and the load table for `mgs-placing`.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -69,7 +69,7 @@
     let listed = fleet.of_service(service).iter();
     let present = listed.filter(|endpoint| !endpoint.facts.is_leaving);
     let present: Vec<Arc<Endpoint>> = present.cloned().collect();
-    // Includes shut endpoints: the number of endpoints that may be ejected depends on all of them.
+    // Includes blocked endpoints: the number of endpoints that may be ejected depends on all.
     core.outliers.set_endpoint_count(present.len());
     present
 }
@@ -100,7 +100,7 @@
     present.to_vec()
 }
 
-pub(crate) fn is_on_trial(core: &Core, endpoint: &Endpoint) -> bool {
+pub(crate) fn is_on_probation(core: &Core, endpoint: &Endpoint) -> bool {
     let now_ms = core.now_whole_ms();
     core.outliers.health(endpoint.key, now_ms) != Health::Healthy
 }
@@ -114,42 +114,42 @@
 ) -> Result<PlacedRequest, Refusal> {
     let fleet = core.published.fleet();
     let present = active_endpoints(core, &fleet, service);
-    let shut = core.shut();
-    let open: Vec<Arc<Endpoint>> = present
+    let blocked = core.blocked_endpoints();
+    let allowed: Vec<Arc<Endpoint>> = present
         .iter()
-        .filter(|e| !shut.contains(e))
+        .filter(|e| !blocked.contains(e))
         .cloned()
         .collect();
-    if open.is_empty() && !present.is_empty() {
-        return Err(shut.refusal(&present, request_id));
+    if allowed.is_empty() && !present.is_empty() {
+        return Err(blocked.refusal(&present, request_id));
     }
-    let endpoints = eligible_endpoints(core, &open, tried);
+    let endpoints = eligible_endpoints(core, &allowed, tried);
     let candidate = |endpoint: &Arc<Endpoint>| plain::Candidate {
         key: endpoint.key,
         slots: endpoint.facts.slots,
         in_own_zone: endpoint.facts.zone == core.options.zone,
-        on_trial: is_on_trial(core, endpoint),
+        on_probation: is_on_probation(core, endpoint),
     };
     let candidates: Vec<plain::Candidate> = endpoints.iter().map(candidate).collect();
-    let chosen = plain::choose_endpoint(&candidates, &core.board.borrow());
+    let chosen = plain::choose_endpoint(&candidates, &core.load_table.borrow());
     let endpoint = chosen
         .and_then(|key| fleet.by_key.get(&key))
         .ok_or_else(no_endpoint)?;
     log::info!(
         request_id = request_id,
         endpoint = endpoint.facts.incarnation.id,
-        running_calls = core.board.borrow().load(endpoint.key).calls,
+        running_calls = core.load_table.borrow().load(endpoint.key).calls,
         usable_endpoints = candidates.len(),
-        shut_endpoints = present.len() - open.len(),
+        shut_endpoints = present.len() - allowed.len(),
         tried = tried.len(),
         fleet_age_ms = core.published.fleet_age_ms().unwrap_or(u64::MAX);
         "placed"
     );
-    let held = EndpointLoad {
+    let load = EndpointLoad {
         calls: 1,
         ..EndpointLoad::default()
     };
-    let load_guard = LoadGuard::take(core, vec![(endpoint.key, held)], Vec::new(), 0.0);
+    let load_guard = LoadGuard::take(core, vec![(endpoint.key, load)], Vec::new(), 0.0);
     Ok(PlacedRequest {
         endpoint: endpoint.clone(),
         helpers: Vec::new(),
@@ -174,24 +174,25 @@
     pub(crate) tried: &'a TriedEndpoints,
 }
 
-/// Places a prompt once it is its turn. `need` returns the current need, with the time left now.
+/// Places a prompt once it may be dispatched. `need` returns the current need, with the time left
+/// now.
 pub(crate) async fn place_prompt(
     prompt: &Prompt<'_>,
     need: impl Fn() -> Need,
 ) -> Result<PlacedRequest, Refusal> {
     let core = prompt.core;
-    let band = dispatch::length_band(&need(), prompt.model, &core.options.turns);
+    let band = dispatch::length_band(&need(), prompt.model, &core.options.dispatch);
     if let Some(band) = band {
         core.lengths.borrow_mut().count_asked(band, core.now_ms());
     }
-    let placed = place_in_turn(prompt, band, need).await?;
+    let placed = place_and_reserve(prompt, band, need).await?;
     if let Some(band) = band {
         core.lengths.borrow_mut().count_sent(band, core.now_ms());
     }
     Ok(placed)
 }
 
-async fn place_in_turn(
+async fn place_and_reserve(
     prompt: &Prompt<'_>,
     band: Option<LengthBand>,
     need: impl Fn() -> Need,
@@ -199,9 +200,9 @@
     let core = prompt.core;
     let mut avoided = prompt.tried.clone();
     for _ in 0..RESERVE_ATTEMPTS {
-        let turned = wait::wait_for_turn(prompt, band, &need, &avoided).await?;
-        place_log::placed(core, prompt.request_id, &turned);
-        let (need, placement, fleet) = (turned.need, turned.placement, turned.fleet);
+        let ready = wait::wait_for_dispatch(prompt, band, &need, &avoided).await?;
+        place_log::placed(core, prompt.request_id, &ready);
+        let (need, placement, fleet) = (ready.need, ready.placement, ready.fleet);
         let load_guard = take_load_guard(prompt, &need, &placement);
         if placement.reservations.is_empty() {
             let none = Reservations::none(core);
@@ -211,7 +212,7 @@
         {
             return placed_request(&fleet, placement, load_guard, taken);
         }
-        // An engine that refused has less memory free than the board shows.
+        // An engine that refused has less memory free than the load table shows.
         avoided.push(placement.lead);
     }
     Err(Refusal::after(Fault::Full, wait::RETRY_AFTER_MIN_MS))
@@ -232,16 +233,16 @@
         memory_tokens: saturating_u32(at_first),
         ..EndpointLoad::default()
     };
-    let mut held = vec![(placement.lead, writer)];
+    let mut loads = vec![(placement.lead, writer)];
     for reserve in &placement.reservations {
         let memory = EndpointLoad {
             memory_tokens: saturating_u32(reserve.tokens),
             ..EndpointLoad::default()
         };
-        held.push((reserve.endpoint, memory));
+        loads.push((reserve.endpoint, memory));
     }
-    let mut readers = placement.helpers.clone();
-    readers.push(placement.lead);
+    let mut prefill_endpoints = placement.helpers.clone();
+    prefill_endpoints.push(placement.lead);
     if !placement.helpers.is_empty() {
         let part = EndpointLoad {
             parts: 1,
@@ -249,9 +250,9 @@
             shared_read_ms: placement.prefill_ms as u32,
             ..EndpointLoad::default()
         };
-        held.extend(readers.iter().map(|key| (*key, part.clone())));
+        loads.extend(prefill_endpoints.iter().map(|key| (*key, part.clone())));
     }
-    LoadGuard::take(core, held, readers, placement.prefill_ms)
+    LoadGuard::take(core, loads, prefill_endpoints, placement.prefill_ms)
 }
 
 fn saturating_u32(tokens: u64) -> u32 {
--- a/crates/mgs-relay/src/relay.rs
+++ b/crates/mgs-relay/src/relay.rs
@@ -68,8 +68,8 @@
     pub connect_timeout_ms: u64,
     /// Placement of prompts on engines.
     pub placing: options::PlacementOptions,
-    /// Order in which long prompts are sent.
-    pub turns: dispatch::DispatchOptions,
+    /// Order in which long prompts are dispatched.
+    pub dispatch: dispatch::DispatchOptions,
     /// Detection of failing endpoints, which are then skipped for a while.
     pub outliers: outlier::Options,
     /// Quarantine of requests that crash endpoints.
@@ -91,7 +91,7 @@
             peer_listen: any_port,
             connect_timeout_ms: 300,
             placing: options::PlacementOptions::default(),
-            turns: dispatch::DispatchOptions::default(),
+            dispatch: dispatch::DispatchOptions::default(),
             outliers: outlier::Options {
                 // An unreachable endpoint never answers, and each request that finds this out costs
                 // its client the time to connect elsewhere.
@@ -170,11 +170,11 @@
     Ok(Rc::new(Core {
         dialect,
         published,
-        board: RefCell::new(LoadTable::new()),
-        unreported_reads: RefCell::new(Vec::new()),
-        unreported_held: RefCell::new(Vec::new()),
-        whole_wanted: Cell::new(false),
-        board_changed: Notify::new(),
+        load_table: RefCell::new(LoadTable::new()),
+        unreported_prefills: RefCell::new(Vec::new()),
+        unreported_loads: RefCell::new(Vec::new()),
+        full_message_wanted: Cell::new(false),
+        broadcast_wanted: Notify::new(),
         waiting_for_spare: RefCell::new(BTreeSet::new()),
         spare: RefCell::new(SpareSlotRate::default()),
         lengths: RefCell::new(LengthCounter::default()),
@@ -183,7 +183,7 @@
         helpers: RefCell::new(HelperRefusals::default()),
         backpressure: RefCell::new(Backpressure::new(options.backpressure.clone())),
         budget: RefCell::new(RetryBudget::default()),
-        looks: RefCell::new(EndpointProbes::default()),
+        endpoint_probes: RefCell::new(EndpointProbes::default()),
         crashes: CrashTracker::new(options.quarantine.clone()),
         metrics,
         traffic: Traffic::default(),
--- a/crates/mgs-relay/src/serve.rs
+++ b/crates/mgs-relay/src/serve.rs
@@ -86,8 +86,8 @@
     request_id: String,
     prompt_tokens: u64,
     size_tokens: u64,
-    /// The work key, shared by all requests for the same work; empty until the body is read.
-    work: String,
+    /// Fingerprint of the request, in hexadecimal digits; empty until the body is read.
+    fingerprint: String,
     /// The route, once it is known.
     route: Option<Arc<Route>>,
     arrived: Instant,
@@ -104,7 +104,7 @@
         let route = self.route.as_deref();
         log::info!(
             request_id = self.request_id,
-            work = self.work,
+            work = self.fingerprint,
             outcome = outcome,
             status = status,
             detail = detail,
@@ -167,7 +167,7 @@
         request_id: client_request.request_id.clone(),
         prompt_tokens: client_request.prompt_tokens,
         size_tokens: client_request.size_tokens(),
-        work: String::new(),
+        fingerprint: String::new(),
         route: None,
         arrived,
         timeout_ms: 0,
@@ -232,11 +232,11 @@
         .services
         .get(&service)
         .and_then(|service| service.engine.clone());
-    let work = work(&client_request, &head, &body, &admitted, &service);
-    outcome_log.work = work.to_string();
+    let fingerprint = fingerprint(&client_request, &head, &body, &admitted, &service);
+    outcome_log.fingerprint = fingerprint.to_string();
     let mut dispatcher = Dispatcher {
         core: core.clone(),
-        work,
+        fingerprint,
         client_request,
         head,
         body,
@@ -249,18 +249,19 @@
         progress: DispatchProgress::default(),
         permission: Permission::Free,
     };
-    let usable = match timeout_at(deadline, dispatcher.run(None)).await {
-        Ok(usable) => usable?,
+    let response = match timeout_at(deadline, dispatcher.run(None)).await {
+        Ok(response) => response?,
         Err(_) => return Err(dispatcher.timed_out()),
     };
     let took_ms = arrived.elapsed().as_secs_f64() * 1e3;
     let length = metrics::length_label(dispatcher.client_request.prompt_tokens);
     core.metrics.first_token_ms.observe(length, took_ms);
-    Ok(into_response(core, dispatcher, usable, open_request))
+    Ok(into_response(core, dispatcher, response, open_request))
 }
 
-/// Computes the work key. The caller is its organisation, whichever of its API keys it uses.
-fn work(
+/// Computes the fingerprint of a request. The caller is its organisation, whichever of its API keys
+/// it uses.
+fn fingerprint(
     client_request: &ClientRequest,
     head: &request::Parts,
     body: &Bytes,
@@ -270,7 +271,7 @@
     let organisation = admitted.organisation.as_ref();
     let caller = organisation.map_or("", |organisation| organisation.name.as_str());
     let target = head.uri.path_and_query();
-    let work = RequestIdentity {
+    let identity = RequestIdentity {
         service,
         host: &client_request.host,
         method: head.method.as_str(),
@@ -278,7 +279,7 @@
         caller,
         body,
     };
-    work.fingerprint()
+    identity.fingerprint()
 }
 
 /// The current configuration. A process that has just started waits a moment for it: when all hosts
@@ -297,16 +298,17 @@
 fn into_response(
     core: &Rc<Core>,
     dispatcher: Dispatcher,
-    usable: UsableResponse,
+    response: UsableResponse,
     open_request: OpenRequest,
 ) -> ClientResponse {
-    match usable {
-        UsableResponse::Whole(whole) => {
+    match response {
+        UsableResponse::Full(whole) => {
             forwarded_response(core, &whole.head, client_response::whole(whole.body))
         }
-        UsableResponse::Stream(begun) => {
-            let head = begun.head;
-            let (forwarder, chunks) = StreamForwarder::new(dispatcher, begun.stream, begun.placed);
+        UsableResponse::Stream(started) => {
+            let head = started.head;
+            let (forwarder, chunks) =
+                StreamForwarder::new(dispatcher, started.stream, started.placed);
             tokio::task::spawn_local(async move {
                 forwarder.run().await;
                 drop(open_request);
--- a/crates/mgs-relay/src/stream.rs
+++ b/crates/mgs-relay/src/stream.rs
@@ -110,7 +110,9 @@
     pub(crate) async fn run(mut self) -> StreamEnd {
         let end = self.forward_all().await;
         if end == StreamEnd::Whole {
-            self.dispatcher.core.record_completion(self.dispatcher.work);
+            self.dispatcher
+                .core
+                .record_completion(self.dispatcher.fingerprint);
         }
         if end != StreamEnd::Whole {
             self.dispatcher.core.metrics.broken_streams.inc(end.name());
@@ -149,7 +151,7 @@
             };
             log::info!(
                 request_id = self.dispatcher.client_request.request_id,
-                work:% = self.dispatcher.work,
+                work:% = self.dispatcher.fingerprint,
                 endpoint = self.placed.endpoint.facts.incarnation.id,
                 last_event_id = self.last_id.as_deref().unwrap_or(""),
                 why = broke_off;
@@ -230,10 +232,12 @@
         }
         self.events += 1;
         let core = &self.dispatcher.core;
-        core.record_progress(self.dispatcher.work, || self.reached());
+        core.record_progress(self.dispatcher.fingerprint, || self.reached());
         let now_ms = core.now_ms();
         let engine = self.placed.endpoint.key;
-        core.board.borrow_mut().record_stream_event(engine, now_ms);
+        core.load_table
+            .borrow_mut()
+            .record_stream_event(engine, now_ms);
         self.last_event_at = Instant::now();
     }
 
@@ -259,20 +263,20 @@
         self.placed.release(&self.dispatcher.core);
         let deadline = self.dispatcher.deadline;
         let running = self.dispatcher.run(Some(&last_id));
-        let got = tokio::select! {
-            got = timeout_at(deadline, running) => got,
+        let result = tokio::select! {
+            result = timeout_at(deadline, running) => result,
             () = self.client.closed() => return Resumed::Failed,
         };
-        let begun = match got {
-            Ok(Ok(UsableResponse::Stream(begun))) => begun,
+        let started = match result {
+            Ok(Ok(UsableResponse::Stream(started))) => started,
             // Nothing followed the last event: only the end of the stream had been lost.
-            Ok(Ok(UsableResponse::Whole(rest))) if rest.head.status.is_success() => {
+            Ok(Ok(UsableResponse::Full(rest))) if rest.head.status.is_success() => {
                 return Resumed::AlreadyComplete
             }
             _ => return Resumed::Failed,
         };
-        self.stream = begun.stream;
-        self.placed = begun.placed;
+        self.stream = started.stream;
+        self.placed = started.placed;
         self.resumes += 1;
         Resumed::Continued
     }
