--- a/crates/mgs-ledger/tests/queue.rs
+++ b/crates/mgs-ledger/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The local order of work.
+//! Scheduling order of the queue.
 
 use mgs_ledger::job::Job;
 use mgs_ledger::job::OrganisationKey;
@@ -33,10 +33,10 @@
     }
 }
 
-/// Takes requests out in order, as many as there are.
+/// Starts all requests in order, and returns their serials.
 fn drain(queue: &mut Queue, now_ms: u64) -> Vec<u64> {
     let mut order = Vec::new();
-    while let Some(next) = queue.order(now_ms, URGENT_MS).first() {
+    while let Some(next) = queue.start_order(now_ms, URGENT_MS).first() {
         order.push(next.job.id.serial);
         queue.start(next.job.id, &[]);
     }
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_crowd_of_one_organisation_does_not_hold_up_another() {
+fn a_burst_of_one_organisation_does_not_delay_another() {
     let mut queue = Queue::default();
     for serial in 0..10 {
         queue.push(0, job(serial, 1, 0));
@@ -119,22 +119,22 @@
 #[case::fresh(0, 9)]
 #[case::half(5_000, 4)]
 #[case::late(9_500, 0)]
-fn waiting_takes_the_level_down_to_nothing(#[case] now_ms: u64, #[case] level: u32) {
+fn ageing_lowers_the_level_to_zero(#[case] now_ms: u64, #[case] level: u32) {
     let mut queue = Queue::default();
     queue.push(0, job(1, 1, 9));
-    assert_eq!(queue.order(now_ms, URGENT_MS)[0].level(now_ms), level);
+    assert_eq!(queue.start_order(now_ms, URGENT_MS)[0].level(now_ms), level);
 }
 
 #[test]
-fn low_priority_gets_its_turn_under_a_stream_of_high() {
+fn low_priority_is_not_starved_by_high_priority() {
     let mut queue = Queue::default();
     queue.push(0, job(0, 1, 9));
     let mut now_ms = 0;
     for serial in 1.. {
-        // High priority comes faster than it is served.
+        // Requests of high priority arrive faster than they are served.
         queue.push(now_ms, job(serial, 2, 0));
         queue.push(now_ms, job(1_000_000 + serial, 2, 0));
-        let next = queue.order(now_ms, URGENT_MS)[0];
+        let next = queue.start_order(now_ms, URGENT_MS)[0];
         queue.start(next.job.id, &[]);
         if next.job.id.serial == 0 {
             break;
--- a/crates/mgs-placing/src/evaluation.rs
+++ b/crates/mgs-placing/src/evaluation.rs
@@ -214,8 +214,8 @@
             && part_ms >= self.options.part_min_passes * self.model.min_pass_ms()
     }
 
-    /// The best placement on `width` engines with a prefill of `part_ms` each; `None` without enough
-    /// engines.
+    /// The best placement on `width` engines with a prefill of `part_ms` each; `None` without
+    /// enough engines.
     pub(crate) fn placement_for_width(&self, width: usize, part_ms: f64) -> Option<Placement> {
         let is_shared = width > 1;
         if !is_shared {
@@ -314,7 +314,7 @@
         lateness
             + engine.prefill_harm(prefill_ms)
             + self.co_location_loss(engine)
-            + self.trial_loss(engine)
+            + self.probation_loss(engine)
     }
 
     /// Rank of an engine for a part: its loss in coarse steps, so that nearly equal engines tie and
@@ -331,13 +331,13 @@
     /// better, also where the part would overtake queued work.
     fn part_loss(&self, engine: &EngineState<'_>, part_ms: f64) -> f64 {
         let lateness = self.lateness_loss(engine, engine.ready_ms(part_ms));
-        lateness + engine.prefill_harm(part_ms) + self.trial_loss(engine)
+        lateness + engine.prefill_harm(part_ms) + self.probation_loss(engine)
     }
 
-    /// Penalty for an engine on trial, in units: a single request is enough to show whether it has
-    /// recovered.
-    fn trial_loss(&self, engine: &EngineState<'_>) -> f64 {
-        if !engine.on_trial {
+    /// Penalty for an engine on probation, in units: a single request is enough to show whether it
+    /// has recovered.
+    fn probation_loss(&self, engine: &EngineState<'_>) -> f64 {
+        if !engine.on_probation {
             return 0.0;
         }
         self.worth_units * f64::from(1 + engine.running.min(4))
@@ -368,8 +368,8 @@
         self.options.open_other_units / (1.0 + f64::from(engine.running_long()))
     }
 
-    /// Loss of the prompt if the engine, as its lead, emits the first token after `first_token_ms`, in
-    /// units. Once its target has passed, only ending before the deadline counts, and the prompt
+    /// Loss of the prompt if the engine, as its lead, emits the first token after `first_token_ms`,
+    /// in units. Once its target has passed, only ending before the deadline counts, and the prompt
     /// justifies no more harm to others than that.
     fn lateness_loss(&self, engine: &EngineState<'_>, first_token_ms: f64) -> f64 {
         let need = self.need;
--- a/crates/mgs-relay/src/fault.rs
+++ b/crates/mgs-relay/src/fault.rs
@@ -26,7 +26,7 @@
     /// no endpoint of the service is known
     NoEndpoint,
     /// the endpoints have asked to be sent nothing now
-    Shut,
+    Blocked,
     /// the endpoints have no room
     Full,
     /// the prompt exceeds the memory of all engines together
@@ -34,7 +34,7 @@
     /// the deadline would pass before it could be served
     TooLate,
     /// the request has crashed the endpoints that ran it, and isn't sent to others
-    Quarantined,
+    Held,
     /// the endpoints said that they didn't run it
     NotRun,
     /// the endpoint gave no usable answer; it may have run
@@ -72,11 +72,11 @@
             Self::BodyTooLong => "body_too_long",
             Self::BodyTooSlow => "body_too_slow",
             Self::NoEndpoint => "no_endpoint",
-            Self::Shut => "endpoints_shut",
+            Self::Blocked => "endpoints_shut",
             Self::Full => "full",
             Self::TooLarge => "too_large",
             Self::TooLate => "too_late",
-            Self::Quarantined => "quarantined",
+            Self::Held => "quarantined",
             Self::NotRun => "not_run",
             Self::Unknown => "unknown",
             Self::TimeoutBefore => "timeout_before_dispatch",
--- a/crates/mgs-relay/src/lost_run.rs
+++ b/crates/mgs-relay/src/lost_run.rs
@@ -59,9 +59,9 @@
 #[derive(Debug, Clone)]
 pub(crate) struct LostRun {
     pub(crate) request_id: String,
-    pub(crate) work: Fingerprint,
+    pub(crate) fingerprint: Fingerprint,
     pub(crate) endpoint: Arc<Endpoint>,
-    /// Endpoints that read parts of its prompt.
+    /// Endpoints that prefill parts of its prompt.
     pub(crate) helpers: Vec<Arc<Endpoint>>,
     /// Number of events that it had produced.
     pub(crate) reached: u32,
@@ -78,7 +78,7 @@
     };
     core.metrics.lost_runs.inc(fate.name());
     log::info!(
-        request_id = run.request_id, work:% = run.work,
+        request_id = run.request_id, work:% = run.fingerprint,
         endpoint = run.endpoint.facts.incarnation.id, fate = fate.name(), lost:? = lost,
         reached = run.reached;
         "run lost"
@@ -100,7 +100,7 @@
 async fn probe_helpers(core: Rc<Core>, run: LostRun, at_ms: f64) {
     for helper in &run.helpers {
         if self::endpoint_fate(&core, helper).await == EndpointFate::Ended {
-            core.record_helper_crash(run.work, helper, at_ms);
+            core.record_helper_crash(run.fingerprint, helper, at_ms);
         }
     }
 }
@@ -132,11 +132,11 @@
 /// Probes an endpoint once for all callers that ask at the same time.
 async fn shared_probe(core: &Core, endpoint: &Endpoint) -> EndpointFate {
     let pending = {
-        let mut probes = core.looks.borrow_mut();
+        let mut probes = core.endpoint_probes.borrow_mut();
         probes.entry(endpoint.key).or_default().clone()
     };
     let fate = *pending.get_or_init(|| probe(core, endpoint)).await;
-    core.looks.borrow_mut().remove(&endpoint.key);
+    core.endpoint_probes.borrow_mut().remove(&endpoint.key);
     fate
 }
 
@@ -151,7 +151,7 @@
     match Connection::open(endpoint.facts.address, PROBE_TIMEOUT).await {
         Ok(_) => EndpointFate::Alive,
         Err(CallError::Refused(_)) => {
-            core.note_connection_refused(endpoint.key);
+            core.record_connection_refused(endpoint.key);
             EndpointFate::Ended
         }
         Err(error) => {
--- a/crates/mgs-relay/src/traffic.rs
+++ b/crates/mgs-relay/src/traffic.rs
@@ -24,10 +24,10 @@
     Dispatches,
     /// Response bodies from endpoints.
     Answers,
-    /// Short messages to peers about new work, counted for each peer.
+    /// Short messages to peers about new load, counted for each peer.
     ShortMessages,
-    /// Whole messages to peers about all work held, counted for each peer.
-    WholeMessages,
+    /// Full messages to peers about all load, counted for each peer.
+    FullMessages,
     /// Messages to peers about requests that crash endpoints, counted for each peer.
     CrashMessages,
     /// Messages from peers.
@@ -40,7 +40,7 @@
         Self::Dispatches,
         Self::Answers,
         Self::ShortMessages,
-        Self::WholeMessages,
+        Self::FullMessages,
         Self::CrashMessages,
         Self::HeardMessages,
     ];
@@ -52,7 +52,7 @@
             Self::Dispatches => "dispatches",
             Self::Answers => "answers",
             Self::ShortMessages => "short_messages",
-            Self::WholeMessages => "whole_messages",
+            Self::FullMessages => "whole_messages",
             Self::CrashMessages => "crash_messages",
             Self::HeardMessages => "messages_heard",
         }
@@ -86,16 +86,16 @@
     loop {
         sleep(REPORT_INTERVAL).await;
         let totals = core.traffic.drain_into(&core.metrics.bytes);
-        let [requests, dispatches, answers, short_messages, whole_messages, crash_messages, messages_heard] =
+        let [requests, dispatches, answers, short_messages, full_messages, crash_messages, received_messages] =
             totals;
         log::info!(
             requests = requests,
             dispatches = dispatches,
             answers = answers,
             short_messages = short_messages,
-            whole_messages = whole_messages,
+            whole_messages = full_messages,
             crash_messages = crash_messages,
-            messages_heard = messages_heard;
+            messages_heard = received_messages;
             "bytes carried"
         );
     }
--- a/crates/mgs-routing/benches/decision.rs
+++ b/crates/mgs-routing/benches/decision.rs
@@ -13,8 +13,8 @@
 use criterion::Criterion;
 use mgs_admission::fair::FairQueue;
 use mgs_admission::queue::Admission;
-use mgs_admission::queue::Offer;
-use mgs_admission::queue::Room;
+use mgs_admission::queue::AdmissionRequest;
+use mgs_admission::queue::Capacity;
 use mgs_fleet::fleet::Fleet;
 use mgs_fleet::fleet::Options;
 use mgs_fleet::view::View;
@@ -59,7 +59,7 @@
 }
 
 impl FleetRoom<'_> {
-    fn request(&self, offer: &Offer) -> RoutingRequest<'_> {
+    fn request(&self, offer: &AdmissionRequest) -> RoutingRequest<'_> {
         RoutingRequest {
             kind: EndpointKind::Engine,
             model: MODEL,
@@ -75,8 +75,8 @@
     }
 }
 
-impl Room for FleetRoom<'_> {
-    fn first_token_ms(&self, offer: &Offer) -> Option<u64> {
+impl Capacity for FleetRoom<'_> {
+    fn first_token_ms(&self, offer: &AdmissionRequest) -> Option<u64> {
         let choice = self
             .policy
             .choose(self.view, &self.request(offer), self.random);
@@ -86,7 +86,7 @@
         Some(first_token_ms)
     }
 
-    fn taken(&mut self, offer: &Offer) {
+    fn reserve(&mut self, offer: &AdmissionRequest) {
         if let Some(choice) = self.last_choice.borrow().as_ref() {
             let request = RoutingRequest {
                 now_ms: DISPATCHED_MS,
@@ -166,10 +166,10 @@
         let view = live_view(&settings);
         let policy = Marigold::default();
         let mut admission = FairQueue::default();
-        admission.settings(0, &settings);
+        admission.apply_settings(0, &settings);
         let prefix_hashes: Vec<u64> = (0..PREFIX_BLOCKS).collect();
-        let offers: Vec<Offer> = (0..ORGANISATIONS)
-            .map(|i| Offer {
+        let offers: Vec<AdmissionRequest> = (0..ORGANISATIONS)
+            .map(|i| AdmissionRequest {
                 id: RequestId {
                     origin: 1,
                     serial: 0,
@@ -191,7 +191,7 @@
                 let now_ms = serial;
                 let mut offer = offers[serial as usize % ORGANISATIONS].clone();
                 offer.id.serial = serial;
-                admission.offer(now_ms, &offer);
+                admission.submit(now_ms, &offer);
                 let mut room = FleetRoom {
                     policy: &policy,
                     view: &view,
@@ -200,7 +200,7 @@
                     random: serial.wrapping_mul(0x9e37_79b9_7f4a_7c15),
                     last_choice: RefCell::new(None),
                 };
-                let actions = admission.next(now_ms, &mut room);
+                let actions = admission.schedule(now_ms, &mut room);
                 assert_eq!(actions.len(), 1);
                 let endpoint = room.last_choice.borrow().as_ref().map(|c| c.endpoint);
                 let endpoint = endpoint.expect("it was chosen");
--- a/crates/mgs-routing/benches/trial/run.rs
+++ b/crates/mgs-routing/benches/trial/run.rs
@@ -10,9 +10,9 @@
 use hdrhistogram::Histogram;
 use mgs_admission::queue::Action;
 use mgs_admission::queue::Admission;
-use mgs_admission::queue::Offer;
-use mgs_admission::queue::Room;
-use mgs_admission::queue::Verdict;
+use mgs_admission::queue::AdmissionDecision;
+use mgs_admission::queue::AdmissionRequest;
+use mgs_admission::queue::Capacity;
 use mgs_fleet::fleet;
 use mgs_fleet::fleet::Fleet;
 use mgs_fleet::view::EndpointKey;
@@ -113,8 +113,8 @@
     }
 }
 
-impl Room for FleetRoom<'_> {
-    fn first_token_ms(&self, offer: &Offer) -> Option<u64> {
+impl Capacity for FleetRoom<'_> {
+    fn first_token_ms(&self, offer: &AdmissionRequest) -> Option<u64> {
         let arrival = &self.arrivals[offer.id.serial as usize];
         let request = request(arrival, self.zone, self.now_ms);
         let random = self.rng.borrow_mut().random();
@@ -124,7 +124,7 @@
         Some(first_token_ms)
     }
 
-    fn taken(&mut self, offer: &Offer) {
+    fn reserve(&mut self, offer: &AdmissionRequest) {
         let Some((serial, choice)) = self.last_choice.take() else {
             return;
         };
@@ -203,7 +203,7 @@
             for key in 0..ENGINES {
                 fleet.apply_welcome(EndpointKey(key as u32), 1, "");
             }
-            admission.settings(0, &settings);
+            admission.apply_settings(0, &settings);
             let view = fleet.view();
             gateways.push(Gateway {
                 fleet,
@@ -284,7 +284,7 @@
     fn arrive(&mut self, now_ms: u64, id: usize) {
         let arrival = &self.arrivals[id];
         let gateway = arrival.gateway;
-        let offer = Offer {
+        let offer = AdmissionRequest {
             id: RequestId {
                 origin: 0,
                 serial: id as u64,
@@ -300,9 +300,11 @@
         if self.is_measured(id) {
             self.measurements.by_organisation[arrival.organisation].0 += arrival.prompt_tokens;
         }
-        match self.gateways[gateway].admission.offer(now_ms, &offer) {
-            Verdict::Queued => self.dispatch_queued(now_ms, gateway),
-            Verdict::Refused { reason, .. } => self.record_refusal(id, format!("{reason:?}")),
+        match self.gateways[gateway].admission.submit(now_ms, &offer) {
+            AdmissionDecision::Queued => self.dispatch_queued(now_ms, gateway),
+            AdmissionDecision::Refused { reason, .. } => {
+                self.record_refusal(id, format!("{reason:?}"))
+            }
         }
     }
 
@@ -333,7 +335,7 @@
             last_choice: RefCell::new(None),
             choices: HashMap::new(),
         };
-        let actions = gateway_state.admission.next(now_ms, &mut room);
+        let actions = gateway_state.admission.schedule(now_ms, &mut room);
         let choices = room.choices;
         for action in actions {
             match action {
--- a/src/command/gateway/mod.rs
+++ b/src/command/gateway/mod.rs
@@ -14,7 +14,7 @@
 use mgs_gateway::duty::Platform;
 use mgs_gateway::gateway;
 use mgs_gateway::gateway::Gateway;
-use mgs_request::plant::Plant;
+use mgs_request::injected_bug::InjectedBug;
 use mgs_routing::policy;
 
 use super::common;
@@ -173,13 +173,13 @@
     name
 }
 
-fn injected_bug(values: &mut SettingValues<'_>) -> Plant {
+fn injected_bug(values: &mut SettingValues<'_>) -> InjectedBug {
     let name = common::injected_bug_name(values);
-    Plant::from_name(&name).unwrap_or_else(|| {
+    InjectedBug::from_name(&name).unwrap_or_else(|| {
         values.reject(
             common::PLANT,
             "a gateway has no deliberate bug of this name",
         );
-        Plant::None
+        InjectedBug::None
     })
 }
